--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -255,7 +255,7 @@
 {
     Config config;
     config.revision = Revision{1};
-    config.tenants["alexandria"] = {"alexandria", std::string(64, 'a')};
+    config.workspaces["alexandria"] = {"alexandria", std::string(64, 'a')};
     for (std::size_t i = 0; i < Services; ++i) {
         const std::string name = "service-" + std::to_string(i);
         const ServiceId id = serviceId("alexandria", name);
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -48,7 +48,7 @@
         config->revision = Revision{9};
         ServiceConfig &lending = config->services[m_service];
         lending.id = m_service;
-        lending.tenant = "alexandria";
+        lending.workspace = "alexandria";
         for (std::uint32_t i = 0; i < TargetCount; ++i)
             add(lending, i);
         handle(ConfigChanged{config});
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -59,8 +59,8 @@
 {
     std::printf("  ours: refusals p50 %.2f ms, p99 %.2f ms after the ask;",
                 quantile(result.refusalTimes, 0.5), quantile(result.refusalTimes, 0.99));
-    for (const auto &[tenant, counts] : result.tenants)
-        std::printf(" %s answered %.1f%%", tenant.c_str(),
+    for (const auto &[workspace, counts] : result.workspaces)
+        std::printf(" %s answered %.1f%%", workspace.c_str(),
                     percent(counts.answered, counts.offered));
     std::printf("\n");
 }
--- a/bench/policy/fleet.h
+++ b/bench/policy/fleet.h
@@ -59,7 +59,7 @@
     config.revision = Revision{1};
     ServiceConfig &service = config.services[theService()];
     service.id = theService();
-    service.tenant = "alexandria";
+    service.workspace = "alexandria";
     service.name = "lending";
     for (std::size_t i = 0; i < layout.targets; ++i) {
         const TargetConfig target = targetOf(i, layout);
--- a/bench/policy/product_way.h
+++ b/bench/policy/product_way.h
@@ -240,7 +240,7 @@
     {
         AdmissionQueue &queue = queueOf(at, target);
         const Job &job = ask.job;
-        const QueueEntry entry{job.id,       job.requestClass, job.tenant,
+        const QueueEntry entry{job.id,       job.requestClass, job.workspace,
                                job.deadline, m_run.sim.now(),  false};
         std::optional<QueueEntry> displaced;
         if (queue.push(entry, m_run.sim.now(), m_run.sim.random, displaced)) {
--- a/bench/policy/request_run.h
+++ b/bench/policy/request_run.h
@@ -21,7 +21,7 @@
     TimePoint arrived;
     TimePoint deadline;
     RequestClass requestClass = RequestClass::Normal;
-    std::string tenant = "school";
+    std::string workspace = "school";
     double work = 1.0; ///< Over the mean service time.
 };
 
@@ -52,7 +52,7 @@
     std::vector<double> imbalance; ///< Max over mean of assigned requests, at each arrival.
     std::vector<double> atTarget;  ///< The same of requests inside the targets.
     std::array<ClassResult, RequestClassCount> classes;
-    std::map<std::string, ClassResult> tenants;
+    std::map<std::string, ClassResult> workspaces;
     std::vector<double> refusalTimes; ///< Milliseconds from the ask to the refusal.
     std::uint64_t lost = 0;           ///< Deadline passed or owner died.
     std::uint64_t hops = 0;           ///< Datagrams between daemons before the reservation.
--- a/bench/policy/request_run_impl.h
+++ b/bench/policy/request_run_impl.h
@@ -64,11 +64,11 @@
     const double kind = part(m_jobs);
     // The flood comes in the class of the swaps; three tenants share the rest evenly.
     if (part(m_jobs) < 0.7) {
-        job.tenant = "flood";
+        job.workspace = "flood";
         job.requestClass = RequestClass::Normal;
         return job;
     }
-    job.tenant = "tenant" + std::to_string(m_count % 3);
+    job.workspace = "tenant" + std::to_string(m_count % 3);
     job.requestClass = kind < 0.4   ? RequestClass::Urgent
                        : kind < 0.8 ? RequestClass::Normal
                                     : RequestClass::Bulk;
@@ -97,7 +97,7 @@
         sample();
         if (measuring()) {
             ++result.classes[static_cast<std::size_t>(job.requestClass)].offered;
-            ++result.tenants[job.tenant].offered;
+            ++result.workspaces[job.workspace].offered;
         }
         m_arrive(job, someEntry());
         scheduleArrival();
@@ -226,7 +226,7 @@
         return;
     m_answeredWork += job.work;
     ++result.classes[static_cast<std::size_t>(job.requestClass)].answered;
-    ++result.tenants[job.tenant].answered;
+    ++result.workspaces[job.workspace].answered;
     result.latencies.push_back(toMilliseconds(sim.now() - job.arrived));
 }
 
@@ -235,7 +235,7 @@
     if (!measuring())
         return;
     ++result.classes[static_cast<std::size_t>(job.requestClass)].refused;
-    ++result.tenants[job.tenant].refused;
+    ++result.workspaces[job.workspace].refused;
     result.refusalTimes.push_back(toMilliseconds(sim.now() - job.arrived));
 }
 
--- a/bench/whole.cpp
+++ b/bench/whole.cpp
@@ -17,14 +17,14 @@
 
 using namespace baobabtrail::bench;
 
-void print(const std::string &tenant, const std::string &way, const Report &report)
+void print(const std::string &workspace, const std::string &way, const Report &report)
 {
     double worst = 0;
     for (const double seconds : report.timesToForce)
         worst = std::max(worst, seconds);
     std::printf("| %s | %s | %ld / %ld / %ld | %.2f | %.2f | %.3f | %.0f / %.0f / %.0f "
                 "| %ld / %ld / %ld | %ld | %ld | %.1f |\n",
-                tenant.c_str(), way.c_str(), report.flowsOpened, report.flowsOpen,
+                workspace.c_str(), way.c_str(), report.flowsOpened, report.flowsOpen,
                 report.flowsBroken, report.flowImbalance, report.requestImbalance,
                 report.weightAnswered / std::max(1.0, report.weightSent), report.p50, report.p99,
                 report.p999, report.answered, report.notRun, report.unknown, report.duplicates,
@@ -46,11 +46,11 @@
                 "| in force, s, worst |\n|---|---|---|---|---|---|---|---|---|---|---|\n");
     try {
         for (const DeploymentPlan &plan : {alexandria(), vitiLevu()}) {
-            if (!FLAGS_only.empty() && FLAGS_only != plan.tenant)
+            if (!FLAGS_only.empty() && FLAGS_only != plan.workspace)
                 continue;
-            print(plan.tenant, "baobabtrail", Run{plan, run, "baobabtraild"}());
+            print(plan.workspace, "baobabtrail", Run{plan, run, "baobabtraild"}());
             if (FLAGS_baseline)
-                print(plan.tenant, "random", Run{plan, run, "bench-random-daemon"}());
+                print(plan.workspace, "random", Run{plan, run, "bench-random-daemon"}());
         }
     } catch (const std::exception &error) {
         std::fprintf(stderr, "bench-whole: %s\n", error.what());
--- a/bench/whole/plan.h
+++ b/bench/whole/plan.h
@@ -20,7 +20,7 @@
 /// \brief One user's deployment at the brief's sizes.
 struct DeploymentPlan
 {
-    std::string tenant;
+    std::string workspace;
     std::vector<std::string> domains;
     std::vector<ServicePlan> services; ///< The main one first.
     std::size_t daemons = 8;
--- a/bench/whole/run.h
+++ b/bench/whole/run.h
@@ -89,7 +89,7 @@
              std::make_unique<Process>(
                  "standin-caller",
                  std::vector<std::string>{
-                     "--tenant=" + m_system.plan().tenant, "--service=" + plan.name,
+                     "--tenant=" + m_system.plan().workspace, "--service=" + plan.name,
                      "--request_class=" + plan.requestClass, "--rate=" + std::to_string(rate),
                      "--feeds=" + std::to_string(feeds ? count : 0),
                      "--keepalive_ms=" + std::to_string(m_run.keepAlive.count()), "--data_ms=20000",
@@ -100,7 +100,7 @@
     /// The changes and failures, by the second.
     void act(std::size_t second)
     {
-        const std::string main = m_system.plan().tenant + '/' + m_system.plan().services[0].name;
+        const std::string main = m_system.plan().workspace + '/' + m_system.plan().services[0].name;
         using namespace std::chrono_literals;
         switch (second) {
         case 6:
--- a/bench/whole/system.h
+++ b/bench/whole/system.h
@@ -203,7 +203,7 @@
                 targets.push_back(std::make_unique<Process>(
                     "standin-target",
                     std::vector<std::string>{
-                        "--tenant=" + m_plan.tenant, "--service=" + service.name,
+                        "--tenant=" + m_plan.workspace, "--service=" + service.name,
                         "--name=t" + std::to_string(i + 1), "--seed=" + std::to_string(i + 1),
                         "--slots=" + std::to_string(service.slots), "--queue=4", "--push_ms=10000",
                         "--max_flows=8000",
@@ -216,10 +216,10 @@
     void declare()
     {
         std::string change
-            = "declare tenant " + m_plan.tenant + " key-hash " + std::string(64, 'a');
+            = "declare tenant " + m_plan.workspace + " key-hash " + std::string(64, 'a');
         for (std::size_t s = 0; s < m_plan.services.size(); ++s) {
             const ServicePlan &service = m_plan.services[s];
-            const std::string name = m_plan.tenant + '/' + service.name;
+            const std::string name = m_plan.workspace + '/' + service.name;
             change += "; declare service " + name;
             for (std::size_t i = 0; i < service.targets; ++i) {
                 const auto &ports = m_targets[s][i]->ports();
--- a/src/core/config/apply.cpp
+++ b/src/core/config/apply.cpp
@@ -33,27 +33,28 @@
         return std::move(m_result);
     }
 
-    void operator()(const DeclareTenant &command)
+    void operator()(const DeclareWorkspace &command)
     {
-        const bool known = config().tenants.contains(command.tenant);
-        config().tenants[command.tenant] = TenantConfig{command.tenant, command.keyHash};
+        const bool known = config().workspaces.contains(command.workspace);
+        config().workspaces[command.workspace]
+            = WorkspaceConfig{command.workspace, command.keyHash};
         effect(known ? "key changes" : "is declared");
     }
 
     void operator()(const DeclareService &command)
     {
-        const ServiceId id = serviceId(command.service.tenant, command.service.service);
-        if (!config().tenants.contains(command.service.tenant))
-            return add("unknown tenant \"" + command.service.tenant + '"');
+        const ServiceId id = serviceId(command.service.workspace, command.service.service);
+        if (!config().workspaces.contains(command.service.workspace))
+            return add("unknown tenant \"" + command.service.workspace + '"');
         if (const ServiceConfig *holder = config().service(id)) {
-            const bool same = holder->tenant == command.service.tenant
+            const bool same = holder->workspace == command.service.workspace
                               && holder->name == command.service.service;
             return add(same ? "is declared already"
-                            : "has the id of " + holder->tenant + '/' + holder->name
+                            : "has the id of " + holder->workspace + '/' + holder->name
                                   + "; choose another name");
         }
         config().services[id] = ServiceConfig{
-            id, command.service.tenant, command.service.service, command.limits, {}};
+            id, command.service.workspace, command.service.service, command.limits, {}};
         effect("is declared");
     }
 
@@ -199,20 +200,20 @@
         m_place = "command " + std::to_string(index + 1) + " (" + m_name + ')';
         const std::size_t before = m_result.findings.size();
         checkCommand(command, m_place, m_result.findings);
-        checkTenant(command);
+        checkWorkspace(command);
         if (m_result.findings.size() == before)
             std::visit(*this, command);
     }
 
-    void checkTenant(const Command &command)
+    void checkWorkspace(const Command &command)
     {
-        if (m_record.tenant.empty())
+        if (m_record.workspace.empty())
             return;
-        const bool own = tenantOf(command) == m_record.tenant;
+        const bool own = workspaceOf(command) == m_record.workspace;
         const auto *move = std::get_if<MoveTarget>(&command);
-        if (own && (!move || move->to.tenant == m_record.tenant))
+        if (own && (!move || move->to.workspace == m_record.workspace))
             return;
-        add("the key of tenant \"" + m_record.tenant + "\" may not change this");
+        add("the key of tenant \"" + m_record.workspace + "\" may not change this");
     }
 
     void add(std::string what) { m_result.findings.push_back({m_place, std::move(what)}); }
@@ -220,13 +221,14 @@
 
     [[nodiscard]] static ServiceId serviceIdOf(const ServiceName &name)
     {
-        return serviceId(name.tenant, name.service);
+        return serviceId(name.workspace, name.service);
     }
 
     [[nodiscard]] ServiceConfig *findService(const ServiceName &name)
     {
         const auto found = config().services.find(serviceIdOf(name));
-        const bool same = found != config().services.end() && found->second.tenant == name.tenant
+        const bool same = found != config().services.end()
+                          && found->second.workspace == name.workspace
                           && found->second.name == name.service;
         if (same)
             return &found->second;
@@ -296,7 +298,7 @@
         m_usesBuilt = true;
         for (const auto &[id, service] : config().services) {
             for (const auto &[targetId, target] : service.targets)
-                noteUse(target, service.tenant + '/' + service.name + '/' + target.name);
+                noteUse(target, service.workspace + '/' + service.name + '/' + target.name);
         }
     }
 
--- a/src/core/config/change.h
+++ b/src/core/config/change.h
@@ -12,7 +12,7 @@
 /// \brief Names a service as operators do.
 struct ServiceName
 {
-    std::string tenant;
+    std::string workspace;
     std::string service;
 
     friend bool operator==(const ServiceName &, const ServiceName &) = default;
@@ -27,9 +27,9 @@
     friend bool operator==(const TargetName &, const TargetName &) = default;
 };
 
-struct DeclareTenant
+struct DeclareWorkspace
 {
-    std::string tenant;
+    std::string workspace;
     std::string keyHash;
 };
 struct DeclareService
@@ -98,9 +98,9 @@
     std::string domain;
 };
 
-using Command = std::variant<DeclareTenant, DeclareService, AddTarget, DrainTarget, UndrainTarget,
-                             RetireTarget, RemoveTarget, CutTarget, SetLimits, SetWeight,
-                             MoveTarget, RotateKeys, EvacuateDomain, RestoreDomain>;
+using Command = std::variant<DeclareWorkspace, DeclareService, AddTarget, DrainTarget,
+                             UndrainTarget, RetireTarget, RemoveTarget, CutTarget, SetLimits,
+                             SetWeight, MoveTarget, RotateKeys, EvacuateDomain, RestoreDomain>;
 
 /// \brief One entry of the log of changes.
 struct ChangeRecord
@@ -108,7 +108,7 @@
     Revision revision;
     std::string changeId; ///< Chosen by whoever asks for the change; makes asking again harmless.
     std::string author;
-    std::string tenant; ///< Whose key was used; empty for an operator of the whole system.
+    std::string workspace; ///< Whose key was used; empty for an operator of the whole system.
     std::int64_t unixSeconds = 0;
     /// How long addresses that this record frees stay in quarantine. It travels in the record, so
     /// that daemons with other settings work out the same configuration.
--- a/src/core/config/config.h
+++ b/src/core/config/config.h
@@ -45,9 +45,9 @@
 /// \brief Bounds of a service; each has a default that suits the sizes of docs/CAPACITY.md.
 struct ServiceLimits
 {
-    std::uint32_t queuePerSlot = 4;  ///< Requests that wait at an owner for each slot of a target.
-    std::uint32_t tenantShare = 100; ///< Weight of the tenant when a daemon's queues are full.
-    std::uint32_t retryPercent = 10; ///< Retries allowed for every hundred first attempts.
+    std::uint32_t queuePerSlot = 4; ///< Requests that wait at an owner for each slot of a target.
+    std::uint32_t workspaceShare = 100; ///< Weight of the tenant when a daemon's queues are full.
+    std::uint32_t retryPercent = 10;    ///< Retries allowed for every hundred first attempts.
 
     friend bool operator==(const ServiceLimits &, const ServiceLimits &) = default;
 };
@@ -55,7 +55,7 @@
 struct ServiceConfig
 {
     ServiceId id;
-    std::string tenant;
+    std::string workspace;
     std::string name;
     ServiceLimits limits;
     std::map<TargetId, TargetConfig> targets;
@@ -83,12 +83,12 @@
     friend bool operator==(const DomainEvacuation &, const DomainEvacuation &) = default;
 };
 
-struct TenantConfig
+struct WorkspaceConfig
 {
     std::string name;
     std::string keyHash; ///< Hash of the tenant's key for the administration API, hexadecimal.
 
-    friend bool operator==(const TenantConfig &, const TenantConfig &) = default;
+    friend bool operator==(const WorkspaceConfig &, const WorkspaceConfig &) = default;
 };
 
 /// \brief The configuration at one revision; never changed once made.
@@ -96,7 +96,7 @@
 {
     Revision revision;
     KeyEpoch keyEpoch{1};
-    std::map<std::string, TenantConfig> tenants;
+    std::map<std::string, WorkspaceConfig> workspaces;
     std::map<ServiceId, ServiceConfig> services;
     std::vector<QuarantinedAddress> quarantine;
     std::map<std::string, DomainEvacuation> evacuations; ///< By failure domain.
--- a/src/core/config/impl/json_fields.cpp
+++ b/src/core/config/impl/json_fields.cpp
@@ -95,7 +95,7 @@
 json::object toJson(const ServiceLimits &limits)
 {
     return {{"queue-per-slot", limits.queuePerSlot},
-            {"tenant-share", limits.tenantShare},
+            {"tenant-share", limits.workspaceShare},
             {"retry-percent", limits.retryPercent}};
 }
 
@@ -103,7 +103,7 @@
 {
     ServiceLimits limits;
     limits.queuePerSlot = fields.number32("queue-per-slot");
-    limits.tenantShare = fields.number32("tenant-share");
+    limits.workspaceShare = fields.number32("tenant-share");
     limits.retryPercent = fields.number32("retry-percent");
     return limits;
 }
--- a/src/core/config/record_codec.cpp
+++ b/src/core/config/record_codec.cpp
@@ -16,7 +16,7 @@
 
 // One overload of kindOf, nameOf, write and read for each command; templates below find them.
 
-constexpr std::string_view kindOf(const DeclareTenant &)
+constexpr std::string_view kindOf(const DeclareWorkspace &)
 {
     return "declare-tenant";
 }
@@ -83,9 +83,9 @@
     return command.domain;
 }
 
-[[nodiscard]] std::string nameOf(const DeclareTenant &command)
+[[nodiscard]] std::string nameOf(const DeclareWorkspace &command)
 {
-    return command.tenant;
+    return command.workspace;
 }
 
 [[nodiscard]] std::string nameOf(const RotateKeys &command)
@@ -115,7 +115,7 @@
 
 [[nodiscard]] json::object toJson(const ServiceName &name)
 {
-    return {{"tenant", name.tenant}, {"service", name.service}};
+    return {{"tenant", name.workspace}, {"service", name.service}};
 }
 
 [[nodiscard]] json::object toJson(const TargetName &name)
@@ -135,13 +135,13 @@
     return {readServiceName(fields), fields.text("target")};
 }
 
-[[nodiscard]] json::object write(const DeclareTenant &command)
+[[nodiscard]] json::object write(const DeclareWorkspace &command)
 {
-    return {{"tenant", command.tenant}, {"key-hash", command.keyHash}};
+    return {{"tenant", command.workspace}, {"key-hash", command.keyHash}};
 }
-void read(const FieldReader &fields, DeclareTenant &command)
+void read(const FieldReader &fields, DeclareWorkspace &command)
 {
-    command.tenant = fields.text("tenant");
+    command.workspace = fields.text("tenant");
     command.keyHash = fields.text("key-hash");
 }
 
@@ -305,7 +305,7 @@
     record.revision = Revision{fields.number("revision")};
     record.changeId = fields.text("change");
     record.author = fields.text("author");
-    record.tenant = fields.text("tenant");
+    record.workspace = fields.text("tenant");
     record.unixSeconds = fields.seconds("time");
     record.quarantineSeconds = fields.seconds("quarantine");
     for (const json::value &command : fields.array("commands")) {
@@ -321,7 +321,7 @@
 
 std::string toString(const ServiceName &name)
 {
-    return name.tenant + '/' + name.service;
+    return name.workspace + '/' + name.service;
 }
 
 std::string toString(const TargetName &name)
@@ -344,7 +344,7 @@
     const json::object body{{"revision", record.revision.value()},
                             {"change", record.changeId},
                             {"author", record.author},
-                            {"tenant", record.tenant},
+                            {"tenant", record.workspace},
                             {"time", record.unixSeconds},
                             {"quarantine", record.quarantineSeconds},
                             {"commands", std::move(commands)}};
--- a/src/core/config/snapshot.cpp
+++ b/src/core/config/snapshot.cpp
@@ -56,7 +56,7 @@
 {
     return {{"item", "service"},
             {"id", service.id.value()},
-            {"tenant", service.tenant},
+            {"tenant", service.workspace},
             {"name", service.name},
             {"limits", impl::toJson(service.limits)}};
 }
@@ -65,7 +65,7 @@
 {
     ServiceConfig service;
     service.id = ServiceId{fields.number("id")};
-    service.tenant = fields.text("tenant");
+    service.workspace = fields.text("tenant");
     service.name = fields.text("name");
     service.limits = impl::readLimits(fields.object("limits"));
     return service;
@@ -149,7 +149,7 @@
         if (kind == "keys")
             config.keyEpoch = KeyEpoch{fields.number32("epoch")};
         else if (kind == "tenant")
-            config.tenants[fields.text("name")] = {fields.text("name"), fields.text("key-hash")};
+            config.workspaces[fields.text("name")] = {fields.text("name"), fields.text("key-hash")};
         else if (kind == "service")
             addService(readService(fields));
         else if (kind == "target")
@@ -192,8 +192,8 @@
     const Config &config = snapshot.config;
     ShardPacker packer;
     packer.add({{"item", "keys"}, {"epoch", config.keyEpoch.value()}});
-    for (const auto &[name, tenant] : config.tenants)
-        packer.add({{"item", "tenant"}, {"name", name}, {"key-hash", tenant.keyHash}});
+    for (const auto &[name, workspace] : config.workspaces)
+        packer.add({{"item", "tenant"}, {"name", name}, {"key-hash", workspace.keyHash}});
     // Before the targets, which are read with it.
     for (const auto &[domain, evacuation] : config.evacuations)
         packer.add({{"item", "evacuation"},
--- a/src/core/config/validate.cpp
+++ b/src/core/config/validate.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t MaxKeyHashLength = 256;
 constexpr std::uint32_t MaxQueuePerSlot = 1000;
-constexpr std::uint32_t MaxTenantShare = 10000;
+constexpr std::uint32_t MaxWorkspaceShare = 10000;
 constexpr std::uint32_t MaxRetryPercent = 100;
 
 [[nodiscard]] bool isLetterOrDigit(char c) noexcept
@@ -30,9 +30,9 @@
     {
     }
 
-    void operator()(const DeclareTenant &command)
+    void operator()(const DeclareWorkspace &command)
     {
-        name("tenant", command.tenant);
+        name("tenant", command.workspace);
         const std::string &hash = command.keyHash;
         if (hash.empty() || hash.size() > MaxKeyHashLength)
             add("key hash has " + std::to_string(hash.size()) + " digits, expected 1 to "
@@ -94,7 +94,7 @@
     }
     void service(const ServiceName &service)
     {
-        name("tenant", service.tenant);
+        name("tenant", service.workspace);
         name("service", service.service);
     }
     void target(const TargetName &target)
@@ -112,7 +112,7 @@
     void limits(const ServiceLimits &limits)
     {
         range("queue per slot", limits.queuePerSlot, 0, MaxQueuePerSlot);
-        range("tenant share", limits.tenantShare, 1, MaxTenantShare);
+        range("tenant share", limits.workspaceShare, 1, MaxWorkspaceShare);
         range("retry percent", limits.retryPercent, 0, MaxRetryPercent);
     }
     void endpoint(const char *field, const Endpoint &endpoint)
@@ -162,14 +162,14 @@
         findings.push_back({"commands", "there are more than " + std::to_string(MaxCommands)});
 }
 
-std::string tenantOf(const Command &command)
+std::string workspaceOf(const Command &command)
 {
     return std::visit(
         [](const auto &typed) -> std::string {
-            if constexpr (requires { typed.target.service.tenant; })
-                return typed.target.service.tenant;
-            else if constexpr (requires { typed.service.tenant; })
-                return typed.service.tenant;
+            if constexpr (requires { typed.target.service.workspace; })
+                return typed.target.service.workspace;
+            else if constexpr (requires { typed.service.workspace; })
+                return typed.service.workspace;
             else
                 return {}; // Tenants, keys and failure domains are the whole system's matter.
         },
--- a/src/core/config/validate.h
+++ b/src/core/config/validate.h
@@ -29,6 +29,6 @@
 void checkRecord(const ChangeRecord &record, Findings &findings);
 
 /// \return The tenant whose configuration \a command changes; empty for the whole system.
-[[nodiscard]] std::string tenantOf(const Command &command);
+[[nodiscard]] std::string workspaceOf(const Command &command);
 
 } // namespace baobabtrail
--- a/src/core/ids.cpp
+++ b/src/core/ids.cpp
@@ -16,9 +16,9 @@
     return out;
 }
 
-ServiceId serviceId(std::string_view tenant, std::string_view service)
+ServiceId serviceId(std::string_view workspace, std::string_view service)
 {
-    std::string name{tenant};
+    std::string name{workspace};
     name += '/';
     name += service;
     return ServiceId{impl::hash64(name)};
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -71,10 +71,10 @@
 std::ostream &operator<<(std::ostream &out, const RequestId &id);
 
 /// \brief Id of a service, the same on every daemon without any agreement.
-/// \param tenant Name of the tenant.
+/// \param workspace Name of the tenant.
 /// \param service Name of the service within the tenant.
 /// \return The 64-bit hash of "tenant/service".
-[[nodiscard]] ServiceId serviceId(std::string_view tenant, std::string_view service);
+[[nodiscard]] ServiceId serviceId(std::string_view workspace, std::string_view service);
 
 /// \brief Id of a target, the same on every daemon without any agreement.
 /// \param service Id of the service the target was declared for.
--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -102,9 +102,9 @@
     m_impl->capacity = capacity;
 }
 
-void AdmissionQueue::setTenantWeight(const std::string &tenant, std::uint32_t weight)
+void AdmissionQueue::setWorkspaceWeight(const std::string &workspace, std::uint32_t weight)
 {
-    m_impl->lanes.setWeight(tenant, weight);
+    m_impl->lanes.setWeight(workspace, weight);
 }
 
 std::optional<QueueRefusal> AdmissionQueue::push(const QueueEntry &entry, TimePoint now,
@@ -118,8 +118,8 @@
         return late;
     }
     if (!m_impl->makeRoom(entry, displaced)) {
-        const bool greedy = m_impl->lanes.aboveShare(entry.tenant, m_impl->capacity);
-        return m_impl->refuse(greedy ? RefusalCause::TenantLimit : RefusalCause::Overload, now,
+        const bool greedy = m_impl->lanes.aboveShare(entry.workspace, m_impl->capacity);
+        return m_impl->refuse(greedy ? RefusalCause::WorkspaceLimit : RefusalCause::Overload, now,
                               random);
     }
     m_impl->lanes.add(entry);
--- a/src/core/limits/admission_queue.h
+++ b/src/core/limits/admission_queue.h
@@ -17,7 +17,7 @@
 {
     RequestId request;
     RequestClass requestClass = RequestClass::Normal;
-    std::string tenant;
+    std::string workspace;
     TimePoint deadline;
     TimePoint since;
     bool ready = true; ///< False while it only holds a place: its data has not come yet.
@@ -46,7 +46,7 @@
 
     void setCapacity(std::size_t capacity) noexcept;
     /// \param weight Share of the tenant, 100 for an ordinary one.
-    void setTenantWeight(const std::string &tenant, std::uint32_t weight);
+    void setWorkspaceWeight(const std::string &workspace, std::uint32_t weight);
 
     /// \brief Takes a place.
     /// \param displaced Set to the entry that had to go, which is then answered as not run.
--- a/src/core/limits/impl/queue_lanes.cpp
+++ b/src/core/limits/impl/queue_lanes.cpp
@@ -15,35 +15,35 @@
 
 } // namespace
 
-QueueLanes::Tenant &QueueLanes::tenantOf(const std::string &name)
+QueueLanes::Workspace &QueueLanes::workspaceOf(const std::string &name)
 {
-    return m_tenants[name];
+    return m_workspaces[name];
 }
 
-void QueueLanes::setWeight(const std::string &tenant, std::uint32_t weight)
+void QueueLanes::setWeight(const std::string &workspace, std::uint32_t weight)
 {
-    tenantOf(tenant).weight = std::max(weight, 1U);
+    workspaceOf(workspace).weight = std::max(weight, 1U);
 }
 
 QueueLanes::Entries &QueueLanes::entriesOf(const Place &place) noexcept
 {
-    return place.ready ? place.tenant->ready[place.lane] : place.tenant->reserved[place.lane];
+    return place.ready ? place.workspace->ready[place.lane] : place.workspace->reserved[place.lane];
 }
 
 void QueueLanes::add(const QueueEntry &entry)
 {
     if (m_byRequest.contains(entry.request))
         return;
-    Tenant &tenant = tenantOf(entry.tenant);
+    Workspace &workspace = workspaceOf(entry.workspace);
     // A tenant that was away starts level with the others: time that it did not use gives it no
     // claim to run alone now.
-    if (tenant.held == 0)
-        tenant.virtualTime = std::max(tenant.virtualTime, m_virtualTime);
-    const Place place{&tenant, laneOf(entry.requestClass), m_next++, entry.ready};
+    if (workspace.held == 0)
+        workspace.virtualTime = std::max(workspace.virtualTime, m_virtualTime);
+    const Place place{&workspace, laneOf(entry.requestClass), m_next++, entry.ready};
     entriesOf(place).emplace(place.sequence, entry);
     m_byRequest.emplace(entry.request, place);
     m_byDeadline.emplace(entry.deadline, entry.request);
-    ++tenant.held;
+    ++workspace.held;
     ++m_perClass[place.lane];
 }
 
@@ -69,7 +69,7 @@
     auto node = entriesOf(place).extract(place.sequence);
     m_byRequest.erase(found);
     m_byDeadline.erase({node.mapped().deadline, request});
-    --place.tenant->held;
+    --place.workspace->held;
     --m_perClass[place.lane];
     return std::move(node.mapped());
 }
@@ -87,12 +87,12 @@
     for (std::size_t lane = 0; lane < RequestClassCount; ++lane) {
         if (m_perClass[lane] == 0)
             continue;
-        Tenant *next = nullptr;
-        for (auto &[name, tenant] : m_tenants) {
-            if (tenant.ready[lane].empty())
+        Workspace *next = nullptr;
+        for (auto &[name, workspace] : m_workspaces) {
+            if (workspace.ready[lane].empty())
                 continue;
-            if (!next || tenant.virtualTime < next->virtualTime)
-                next = &tenant;
+            if (!next || workspace.virtualTime < next->virtualTime)
+                next = &workspace;
         }
         if (!next)
             continue;
@@ -109,14 +109,14 @@
         expired.push_back(take(RequestId{m_byDeadline.begin()->second}));
 }
 
-std::optional<QueueEntry> QueueLanes::takeNewest(std::size_t lane, Tenant *only)
+std::optional<QueueEntry> QueueLanes::takeNewest(std::size_t lane, Workspace *only)
 {
     const QueueEntry *newest = nullptr;
     Sequence newestSequence = 0;
-    for (auto &[name, tenant] : m_tenants) {
-        if (only && only != &tenant)
+    for (auto &[name, workspace] : m_workspaces) {
+        if (only && only != &workspace)
             continue;
-        for (const Entries *entries : {&tenant.ready[lane], &tenant.reserved[lane]}) {
+        for (const Entries *entries : {&workspace.ready[lane], &workspace.reserved[lane]}) {
             if (entries->empty())
                 continue;
             const auto &[sequence, entry] = *entries->rbegin();
@@ -140,29 +140,29 @@
     return std::nullopt;
 }
 
-double QueueLanes::shareOf(const Tenant &tenant, std::size_t capacity) const noexcept
+double QueueLanes::shareOf(const Workspace &workspace, std::size_t capacity) const noexcept
 {
     double weights = 0;
-    for (const auto &[name, other] : m_tenants) {
+    for (const auto &[name, other] : m_workspaces) {
         if (other.held > 0)
             weights += other.weight;
     }
-    return static_cast<double>(capacity) * tenant.weight / std::max(weights, 1.0);
+    return static_cast<double>(capacity) * workspace.weight / std::max(weights, 1.0);
 }
 
 std::optional<QueueEntry> QueueLanes::takeNewestOfGreedier(const QueueEntry &arrival)
 {
-    const Tenant &mine = tenantOf(arrival.tenant);
+    const Workspace &mine = workspaceOf(arrival.workspace);
     const std::size_t lane = laneOf(arrival.requestClass);
-    Tenant *greediest = nullptr;
+    Workspace *greediest = nullptr;
     double most = (static_cast<double>(mine.held) + 1) / mine.weight;
-    for (auto &[name, tenant] : m_tenants) {
-        const double held = static_cast<double>(tenant.held) / tenant.weight;
-        const bool inLane = !tenant.ready[lane].empty() || !tenant.reserved[lane].empty();
+    for (auto &[name, workspace] : m_workspaces) {
+        const double held = static_cast<double>(workspace.held) / workspace.weight;
+        const bool inLane = !workspace.ready[lane].empty() || !workspace.reserved[lane].empty();
         if (!inLane || held <= most)
             continue;
         most = held;
-        greediest = &tenant;
+        greediest = &workspace;
     }
     if (!greediest)
         return std::nullopt;
@@ -177,10 +177,10 @@
     return count;
 }
 
-bool QueueLanes::aboveShare(const std::string &tenant, std::size_t capacity) const
+bool QueueLanes::aboveShare(const std::string &workspace, std::size_t capacity) const
 {
-    const auto found = m_tenants.find(tenant);
-    if (found == m_tenants.end() || found->second.held == size())
+    const auto found = m_workspaces.find(workspace);
+    if (found == m_workspaces.end() || found->second.held == size())
         return false;
     return static_cast<double>(found->second.held) + 1 > shareOf(found->second, capacity);
 }
--- a/src/core/limits/impl/queue_lanes.h
+++ b/src/core/limits/impl/queue_lanes.h
@@ -20,7 +20,7 @@
 class QueueLanes
 {
 public:
-    void setWeight(const std::string &tenant, std::uint32_t weight);
+    void setWeight(const std::string &workspace, std::uint32_t weight);
 
     void add(const QueueEntry &entry);
     /// \return Whether it was there.
@@ -37,13 +37,13 @@
     /// \return Entries that start before \a arrival would.
     [[nodiscard]] std::size_t ahead(const QueueEntry &arrival) const noexcept;
     /// \return Whether others wait too and the tenant holds at least its share of the places.
-    [[nodiscard]] bool aboveShare(const std::string &tenant, std::size_t capacity) const;
+    [[nodiscard]] bool aboveShare(const std::string &workspace, std::size_t capacity) const;
 
 private:
     using Sequence = std::uint64_t;
     using Entries = std::map<Sequence, QueueEntry>;
 
-    struct Tenant
+    struct Workspace
     {
         double weight = 100;
         double virtualTime = 0;
@@ -53,19 +53,19 @@
     };
     struct Place
     {
-        Tenant *tenant = nullptr;
+        Workspace *workspace = nullptr;
         std::size_t lane = 0;
         Sequence sequence = 0;
         bool ready = false;
     };
 
-    [[nodiscard]] Tenant &tenantOf(const std::string &name);
+    [[nodiscard]] Workspace &workspaceOf(const std::string &name);
     [[nodiscard]] QueueEntry take(const RequestId &request);
-    [[nodiscard]] std::optional<QueueEntry> takeNewest(std::size_t lane, Tenant *only);
-    [[nodiscard]] double shareOf(const Tenant &tenant, std::size_t capacity) const noexcept;
+    [[nodiscard]] std::optional<QueueEntry> takeNewest(std::size_t lane, Workspace *only);
+    [[nodiscard]] double shareOf(const Workspace &workspace, std::size_t capacity) const noexcept;
     [[nodiscard]] static Entries &entriesOf(const Place &place) noexcept;
 
-    std::map<std::string, Tenant> m_tenants;
+    std::map<std::string, Workspace> m_workspaces;
     boost::unordered_flat_map<RequestId, Place> m_byRequest;
     std::set<std::pair<TimePoint, RequestId>> m_byDeadline;
     std::array<std::size_t, RequestClassCount> m_perClass{};
--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -39,7 +39,7 @@
             line.service = serviceId;
             line.slots = std::max<std::uint32_t>(1, target.slots);
             line.waiting.configure(std::size_t{line.slots} * service.limits.queuePerSlot,
-                                   service.tenant, service.limits.tenantShare);
+                                   service.workspace, service.limits.workspaceShare);
         }
     }
     std::erase_if(m_lines, [&](const auto &item) {
@@ -413,17 +413,17 @@
 
 RetryBudget &Dispatcher::budget(const RequestRecord &record)
 {
-    const auto found = m_budgets.find(record.tenant);
+    const auto found = m_budgets.find(record.workspace);
     if (found != m_budgets.end())
         return found->second;
     const ServiceConfig *service = m_context.config->service(record.token.service);
     const ServiceLimits limits = service ? service->limits : ServiceLimits{};
-    return m_budgets.emplace(record.tenant, RetryBudget{limits.retryPercent}).first->second;
+    return m_budgets.emplace(record.workspace, RetryBudget{limits.retryPercent}).first->second;
 }
 
 QueueEntry Dispatcher::entryOf(const RequestRecord &record) const
 {
-    return {record.id, record.requestClass, record.tenant, record.token.deadline,
+    return {record.id, record.requestClass, record.workspace, record.token.deadline,
             record.reservedAt};
 }
 
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -130,10 +130,10 @@
     record.target = target;
     record.requestClass = reserve.requestClass;
     record.idempotent = reserve.idempotent;
-    record.tenant = service->tenant;
+    record.workspace = service->workspace;
     record.reservedAt = turn.now;
 
-    const QueueEntry entry{record.id, record.requestClass, record.tenant, record.token.deadline,
+    const QueueEntry entry{record.id, record.requestClass, record.workspace, record.token.deadline,
                            turn.now};
     const std::optional<QueueRefusal> refusal = m_dispatcher.admit(target, entry, turn);
     if (refusal) {
@@ -159,8 +159,9 @@
         return RefusalCause::TableFull;
     const ServiceConfig *service = m_context.config->service(reserve.service);
     if (service
-        && m_table.shareUsed(service->tenant, service->limits.tenantShare, m_context.tenantWeights))
-        return RefusalCause::TenantLimit;
+        && m_table.shareUsed(service->workspace, service->limits.workspaceShare,
+                             m_context.workspaceWeights))
+        return RefusalCause::WorkspaceLimit;
     return std::nullopt;
 }
 
--- a/src/core/requests/request_record.h
+++ b/src/core/requests/request_record.h
@@ -56,7 +56,7 @@
     bool idempotent = false;
     bool mayHaveRun = false; ///< An earlier attempt may have run: "not run" can't be said any more.
     std::uint32_t attempts = 0;
-    std::string tenant;
+    std::string workspace;
     TimePoint reservedAt;
     TimePoint dispatchedAt; ///< Of the first attempt.
     TimePoint dueAt;        ///< When time alone changes the state.
--- a/src/core/requests/request_table.cpp
+++ b/src/core/requests/request_table.cpp
@@ -5,14 +5,14 @@
 
 namespace baobabtrail {
 
-bool RequestTable::shareUsed(const std::string &tenant, std::uint32_t weight,
+bool RequestTable::shareUsed(const std::string &workspace, std::uint32_t weight,
                              std::uint64_t weights) const noexcept
 {
     // While there is room a tenant may use what others leave.
     if (m_records.size() < m_capacity / 2)
         return false;
-    const auto found = m_perTenant.find(tenant);
-    if (found == m_perTenant.end() || weights == 0)
+    const auto found = m_perWorkspace.find(workspace);
+    if (found == m_perWorkspace.end() || weights == 0)
         return false;
     return found->second >= m_capacity * weight / weights;
 }
@@ -32,7 +32,7 @@
 RequestRecord &RequestTable::add(RequestRecord record)
 {
     const RequestId id = record.id;
-    ++m_perTenant[record.tenant];
+    ++m_perWorkspace[record.workspace];
     m_due.push({record.dueAt, id});
     RequestRecord &added = m_records.insert_or_assign(id, std::move(record)).first->second;
     count(added, true);
@@ -45,9 +45,9 @@
     if (found == m_records.end())
         return;
     count(found->second, false);
-    const auto tenant = m_perTenant.find(found->second.tenant);
-    if (--tenant->second == 0)
-        m_perTenant.erase(tenant);
+    const auto workspace = m_perWorkspace.find(found->second.workspace);
+    if (--workspace->second == 0)
+        m_perWorkspace.erase(workspace);
     m_records.erase(found);
 }
 
--- a/src/core/requests/request_table.h
+++ b/src/core/requests/request_table.h
@@ -23,7 +23,7 @@
     [[nodiscard]] bool full() const noexcept { return m_records.size() >= m_capacity; }
     /// \return Whether a tenant has used up its share of a table that is getting full.
     /// \param weight Of the tenant, relative to \a weights, the sum over all tenants.
-    [[nodiscard]] bool shareUsed(const std::string &tenant, std::uint32_t weight,
+    [[nodiscard]] bool shareUsed(const std::string &workspace, std::uint32_t weight,
                                  std::uint64_t weights) const noexcept;
     [[nodiscard]] RequestRecord *find(const RequestId &id) noexcept;
     /// \return The record whose attempt it is, or null where the attempt was given up.
@@ -62,7 +62,7 @@
     std::size_t m_capacity;
     std::unordered_map<RequestId, RequestRecord> m_records;
     std::unordered_map<AttemptId, RequestId> m_attempts;
-    std::map<std::string, std::size_t> m_perTenant;
+    std::map<std::string, std::size_t> m_perWorkspace;
     // An entry that no longer says when its record is due is skipped.
     std::priority_queue<Due, std::vector<Due>, std::greater<>> m_due;
     std::size_t m_inProgress = 0;
--- a/src/core/requests/waiting_line.cpp
+++ b/src/core/requests/waiting_line.cpp
@@ -4,10 +4,11 @@
 
 namespace baobabtrail {
 
-void WaitingLine::configure(std::size_t capacity, const std::string &tenant, std::uint32_t weight)
+void WaitingLine::configure(std::size_t capacity, const std::string &workspace,
+                            std::uint32_t weight)
 {
     m_queue.setCapacity(capacity);
-    m_queue.setTenantWeight(tenant, weight);
+    m_queue.setWorkspaceWeight(workspace, weight);
 }
 
 std::optional<QueueRefusal> WaitingLine::admit(QueueEntry entry, TimePoint now, Random &random,
--- a/src/core/requests/waiting_line.h
+++ b/src/core/requests/waiting_line.h
@@ -19,7 +19,7 @@
     }
 
     /// \param capacity Most places. \param weight Share of the tenant.
-    void configure(std::size_t capacity, const std::string &tenant, std::uint32_t weight);
+    void configure(std::size_t capacity, const std::string &workspace, std::uint32_t weight);
 
     /// \brief Takes a place.
     /// \param displaced Set to the entry that had to go.
--- a/src/core/traffic/node_context.cpp
+++ b/src/core/traffic/node_context.cpp
@@ -29,14 +29,14 @@
     targetIndex.clear();
     std::map<std::string, std::uint64_t> weights;
     for (const auto &[id, service] : config->services) {
-        std::uint64_t &weight = weights[service.tenant];
-        weight = std::max<std::uint64_t>(weight, service.limits.tenantShare);
+        std::uint64_t &weight = weights[service.workspace];
+        weight = std::max<std::uint64_t>(weight, service.limits.workspaceShare);
         for (const auto &[target, targetConfig] : service.targets)
             targetIndex[target] = &targetConfig;
     }
-    tenantWeights = 0;
-    for (const auto &[tenant, weight] : weights)
-        tenantWeights += weight;
+    workspaceWeights = 0;
+    for (const auto &[workspace, weight] : weights)
+        workspaceWeights += weight;
 }
 
 void NodeContext::setView(ViewPtr newest)
--- a/src/core/traffic/retirement.cpp
+++ b/src/core/traffic/retirement.cpp
@@ -74,7 +74,7 @@
     // The same id from every daemon that thinks it owns the target: the log takes it once.
     const std::string changeId = "remove-" + std::to_string(target.value()) + "-"
                                  + std::to_string(config->generation.value());
-    const TargetName name{{service->tenant, service->name}, config->name};
+    const TargetName name{{service->workspace, service->name}, config->name};
     turn.add(ProposeCommand{changeId, RemoveTarget{name, config->generation}});
     candidate.backOff = std::clamp<Duration>(candidate.backOff * 2, FirstBackOff, MaxBackOff);
     candidate.proposeAt = turn.now + m_context.spread(candidate.backOff);
--- a/src/daemon/admin/access_keys.cpp
+++ b/src/daemon/admin/access_keys.cpp
@@ -29,8 +29,8 @@
         return std::nullopt;
     const std::string hash = accessKeyHash(key);
     std::optional<language::Caller> caller;
-    for (const auto &[name, tenant] : config.tenants) {
-        if (sameHash(hash, tenant.keyHash))
+    for (const auto &[name, workspace] : config.workspaces) {
+        if (sameHash(hash, workspace.keyHash))
             caller = language::Caller{name, name};
     }
     for (const std::string &operatorHash : operatorHashes) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -37,7 +37,7 @@
 Daemon::Daemon(Settings settings, Incarnation incarnation)
     : m_settings(std::move(settings))
     , m_identity(identityOf(m_settings, incarnation))
-    , m_metrics(m_settings.metrics.maxTenants)
+    , m_metrics(m_settings.metrics.maxWorkspaces)
     , m_log(m_settings.log.linesPerSecond)
     , m_keys(keysOf(m_settings))
     , m_sorter(
@@ -128,7 +128,7 @@
     if (config->keyEpoch != m_keys->currentEpoch())
         m_keys->rotate(config->keyEpoch);
     m_config = config;
-    m_metrics.tenants().configure(*config);
+    m_metrics.workspaces().configure(*config);
     if (m_traffic)
         m_traffic->handle(ConfigChanged{config});
 }
--- a/src/daemon/daemon_ports.cpp
+++ b/src/daemon/daemon_ports.cpp
@@ -63,7 +63,7 @@
     };
     ports.propose = [this](const ProposeCommand &action) { propose(action); };
     ports.notice = [this](const Notice &notice) { report(notice); };
-    ports.observe = [this](const Observation &seen) { m_metrics.tenants().observe(seen); };
+    ports.observe = [this](const Observation &seen) { m_metrics.workspaces().observe(seen); };
     ports.stopped = [this] { trafficStopped(); };
     return ports;
 }
--- a/src/daemon/log/log.cpp
+++ b/src/daemon/log/log.cpp
@@ -100,7 +100,7 @@
 
     LogEvent line{notice.severity, notice.part, notice.text};
     if (const ServiceConfig *service = config.service(notice.service))
-        line.field("tenant", service->tenant).field("service", service->name);
+        line.field("tenant", service->workspace).field("service", service->name);
     if (!notice.change.empty())
         line.field("change", notice.change);
     if (*leftOut > 0)
--- a/src/daemon/metrics/metrics.cpp
+++ b/src/daemon/metrics/metrics.cpp
@@ -135,8 +135,8 @@
 
 } // namespace
 
-Metrics::Metrics(std::size_t maxTenants)
-    : m_tenants(maxTenants)
+Metrics::Metrics(std::size_t maxWorkspaces)
+    : m_workspaces(maxWorkspaces)
 {
 }
 
@@ -144,7 +144,7 @@
 {
     Exposition page;
     writeGauges(page, gauges);
-    m_tenants.write(page);
+    m_workspaces.write(page);
     writeSockets(page, m_counters);
     writePlatform(page, m_counters);
     writeEvents(page, m_counters);
--- a/src/daemon/metrics/metrics.h
+++ b/src/daemon/metrics/metrics.h
@@ -2,7 +2,7 @@
 
 #include "daemon/metrics/exposition.h"
 #include "daemon/metrics/names.h"
-#include "daemon/metrics/tenant_metrics.h"
+#include "daemon/metrics/workspace_metrics.h"
 
 #include <array>
 #include <cstdint>
@@ -70,17 +70,17 @@
 class Metrics
 {
 public:
-    explicit Metrics(std::size_t maxTenants);
+    explicit Metrics(std::size_t maxWorkspaces);
 
     [[nodiscard]] Counters &counters() noexcept { return m_counters; }
-    [[nodiscard]] TenantMetrics &tenants() noexcept { return m_tenants; }
+    [[nodiscard]] WorkspaceMetrics &workspaces() noexcept { return m_workspaces; }
 
     /// \return The metrics page.
     [[nodiscard]] std::string page(const Gauges &gauges) const;
 
 private:
     Counters m_counters;
-    TenantMetrics m_tenants;
+    WorkspaceMetrics m_workspaces;
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/metrics/tenant_metrics.cpp
+++ b/src/daemon/metrics/workspace_metrics.cpp
@@ -1,4 +1,4 @@
-#include "daemon/metrics/tenant_metrics.h"
+#include "daemon/metrics/workspace_metrics.h"
 
 #include <variant>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::string_view OverflowTenant = "other";
+constexpr std::string_view OverflowWorkspace = "other";
 
 template <typename Enum>
 [[nodiscard]] constexpr std::size_t indexOf(Enum value) noexcept
@@ -30,40 +30,40 @@
 
 } // namespace
 
-TenantMetrics::TenantMetrics(std::size_t maxTenants)
-    : m_maxTenants(maxTenants)
+WorkspaceMetrics::WorkspaceMetrics(std::size_t maxWorkspaces)
+    : m_maxWorkspaces(maxWorkspaces)
 {
 }
 
-void TenantMetrics::configure(const Config &config)
+void WorkspaceMetrics::configure(const Config &config)
 {
-    std::erase_if(m_tenants,
-                  [&](const auto &entry) { return !config.tenants.contains(entry.first); });
-    for (const auto &[name, tenant] : config.tenants) {
-        if (m_tenants.size() >= m_maxTenants)
+    std::erase_if(m_workspaces,
+                  [&](const auto &entry) { return !config.workspaces.contains(entry.first); });
+    for (const auto &[name, workspace] : config.workspaces) {
+        if (m_workspaces.size() >= m_maxWorkspaces)
             break;
-        m_tenants.try_emplace(name);
+        m_workspaces.try_emplace(name);
     }
     m_services.clear();
     for (const auto &[id, service] : config.services) {
-        const auto found = m_tenants.find(service.tenant);
-        if (found != m_tenants.end())
+        const auto found = m_workspaces.find(service.workspace);
+        if (found != m_workspaces.end())
             m_services.emplace(id, &found->second);
     }
 }
 
-void TenantMetrics::observe(const Observation &observation)
+void WorkspaceMetrics::observe(const Observation &observation)
 {
     std::visit([this](const auto &observed) { add(observed); }, observation);
 }
 
-TenantMetrics::Entry &TenantMetrics::entryOf(ServiceId service)
+WorkspaceMetrics::Entry &WorkspaceMetrics::entryOf(ServiceId service)
 {
     const auto found = m_services.find(service);
     return found == m_services.end() ? m_other : *found->second;
 }
 
-void TenantMetrics::add(const RequestObserved &observed)
+void WorkspaceMetrics::add(const RequestObserved &observed)
 {
     ClassMetrics &metrics = entryOf(observed.service).classes[indexOf(observed.requestClass)];
     ++metrics.outcomes[indexOf(observed.outcome)];
@@ -75,7 +75,7 @@
     metrics.queued.add(observed.queued);
 }
 
-void TenantMetrics::add(const FlowObserved &observed)
+void WorkspaceMetrics::add(const FlowObserved &observed)
 {
     Entry &entry = entryOf(observed.service);
     ++entry.flows[indexOf(observed.event)];
@@ -85,31 +85,31 @@
         ++entry.flowResets[indexOf(observed.reset)];
 }
 
-void TenantMetrics::add(const RejectObserved &observed)
+void WorkspaceMetrics::add(const RejectObserved &observed)
 {
     ++entryOf(observed.service).rejects[indexOf(observed.kind)];
 }
 
 template <typename Write>
-void TenantMetrics::forEach(Write write) const
+void WorkspaceMetrics::forEach(Write write) const
 {
-    for (const auto &[name, entry] : m_tenants)
+    for (const auto &[name, entry] : m_workspaces)
         write(std::string_view{name}, entry);
-    write(OverflowTenant, m_other);
+    write(OverflowWorkspace, m_other);
 }
 
-void TenantMetrics::write(Exposition &page) const
+void WorkspaceMetrics::write(Exposition &page) const
 {
     writeRequests(page);
     writeFlows(page);
 }
 
-void TenantMetrics::writeRequests(Exposition &page) const
+void WorkspaceMetrics::writeRequests(Exposition &page) const
 {
     const auto forEachClass = [this](auto write) {
-        forEach([&](std::string_view tenant, const Entry &entry) {
+        forEach([&](std::string_view workspace, const Entry &entry) {
             for (std::size_t index = 0; index < RequestClassCount; ++index)
-                write(Labels{{"tenant", tenant}, {"class", ClassNames[index]}},
+                write(Labels{{"tenant", workspace}, {"class", ClassNames[index]}},
                       entry.classes[index]);
         });
     };
@@ -154,28 +154,28 @@
     });
 }
 
-void TenantMetrics::writeFlows(Exposition &page) const
+void WorkspaceMetrics::writeFlows(Exposition &page) const
 {
-    const auto forEachTenant = [this](auto write) {
-        forEach([&](std::string_view tenant, const Entry &entry) {
-            write(Labels{{"tenant", tenant}}, entry);
+    const auto forEachWorkspace = [this](auto write) {
+        forEach([&](std::string_view workspace, const Entry &entry) {
+            write(Labels{{"tenant", workspace}}, entry);
         });
     };
 
     page.family("baobabtrail_flows_total", "counter", "Flows by event.");
-    forEachTenant([&](const Labels &labels, const Entry &entry) {
+    forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "event", FlowEventNames, entry.flows);
     });
     page.family("baobabtrail_flow_refusals_total", "counter", "Flows not placed, by cause.");
-    forEachTenant([&](const Labels &labels, const Entry &entry) {
+    forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "cause", RefusalNames, entry.flowRefusals);
     });
     page.family("baobabtrail_flow_resets_total", "counter", "Flows that were reset, by cause.");
-    forEachTenant([&](const Labels &labels, const Entry &entry) {
+    forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "cause", ResetNames, entry.flowResets);
     });
     page.family("baobabtrail_rejects_total", "counter", "Tokens and messages that were refused.");
-    forEachTenant([&](const Labels &labels, const Entry &entry) {
+    forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "kind", RejectNames, entry.rejects);
     });
 }
--- a/src/daemon/metrics/tenant_metrics.h
+++ b/src/daemon/metrics/workspace_metrics.h
@@ -16,10 +16,10 @@
 ///
 /// Memory is bounded by the number of tenants it was made for: those beyond it, and work for a
 /// service that the configuration doesn't name, share the tenant "other".
-class TenantMetrics
+class WorkspaceMetrics
 {
 public:
-    explicit TenantMetrics(std::size_t maxTenants);
+    explicit WorkspaceMetrics(std::size_t maxWorkspaces);
 
     /// \brief Learns which service belongs to which tenant; drops what tenants had that are gone.
     void configure(const Config &config);
@@ -27,7 +27,7 @@
     void write(Exposition &page) const;
 
     /// \return Tenants with an entry of their own.
-    [[nodiscard]] std::size_t size() const noexcept { return m_tenants.size(); }
+    [[nodiscard]] std::size_t size() const noexcept { return m_workspaces.size(); }
 
 private:
     struct ClassMetrics
@@ -56,8 +56,8 @@
     void writeRequests(Exposition &page) const;
     void writeFlows(Exposition &page) const;
 
-    std::size_t m_maxTenants;
-    std::map<std::string, Entry> m_tenants;
+    std::size_t m_maxWorkspaces;
+    std::map<std::string, Entry> m_workspaces;
     std::unordered_map<ServiceId, Entry *> m_services;
     Entry m_other;
 };
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -315,7 +315,7 @@
     reader.section("records", [&](ObjectReader &nested) { readRecords(nested, out.records); });
     reader.section("log", [&](ObjectReader &nested) { readLog(nested, out.log); });
     reader.section("metrics", [&](ObjectReader &nested) {
-        nested.number("maxTenants", out.metrics.maxTenants, 1, 4096);
+        nested.number("maxTenants", out.metrics.maxWorkspaces, 1, 4096);
     });
     reader.section("restarts", [&](ObjectReader &nested) { readRestarts(nested, out.restarts); });
     reader.section("traffic", [&](ObjectReader &nested) { readTraffic(nested, out.traffic); });
--- a/src/language/backend.h
+++ b/src/language/backend.h
@@ -48,7 +48,7 @@
 struct Caller
 {
     std::string name;
-    std::string tenant; ///< Empty for an operator of the whole system.
+    std::string workspace; ///< Empty for an operator of the whole system.
 };
 
 /// \brief One request to the administration API.
--- a/src/language/execute.cpp
+++ b/src/language/execute.cpp
@@ -73,7 +73,7 @@
         Propose proposal;
         proposal.draft.changeId = m_request.changeId;
         proposal.draft.author = m_request.caller.name;
-        proposal.draft.tenant = m_request.caller.tenant;
+        proposal.draft.workspace = m_request.caller.workspace;
         proposal.draft.unixSeconds = m_backend.unixSeconds();
         proposal.draft.commands = change.commands;
         proposal.expected = m_request.expected;
--- a/src/language/filter_rows.cpp
+++ b/src/language/filter_rows.cpp
@@ -24,9 +24,9 @@
 {
     if (row[column] == value)
         return true;
-    const auto tenant = columnOf(result, "tenant");
-    return result.columns[column] == "service" && tenant
-           && row[*tenant] + '/' + row[column] == value;
+    const auto workspace = columnOf(result, "tenant");
+    return result.columns[column] == "service" && workspace
+           && row[*workspace] + '/' + row[column] == value;
 }
 
 } // namespace
--- a/src/language/impl/explain.cpp
+++ b/src/language/impl/explain.cpp
@@ -46,7 +46,7 @@
 /// Explaining a token to another tenant would show whose target has which address.
 [[nodiscard]] bool mayExplain(const Caller &caller, const ServiceConfig *service)
 {
-    return caller.tenant.empty() || (service && service->tenant == caller.tenant);
+    return caller.workspace.empty() || (service && service->workspace == caller.workspace);
 }
 
 [[nodiscard]] std::string describeTarget(const Config &config, const FlowToken &token)
@@ -55,7 +55,7 @@
     const TargetConfig *target = config.target(token.service, token.target);
     if (!service || !target)
         return "its target is not in the configuration of this daemon";
-    return "its target is " + service->tenant + '/' + service->name + '/' + target->name + " in "
+    return "its target is " + service->workspace + '/' + service->name + '/' + target->name + " in "
            + target->domain + ", " + std::string(baobabtrail::toString(target->state))
            + ", of generation " + std::to_string(target->generation.value());
 }
--- a/src/language/impl/queries.cpp
+++ b/src/language/impl/queries.cpp
@@ -37,10 +37,11 @@
 /// \brief Removes what belongs to other tenants: a tenant's key shows only its own.
 void keepVisible(Result &result, const Caller &caller)
 {
-    const auto tenant = columnOf(result, "tenant");
-    if (caller.tenant.empty() || !tenant)
+    const auto workspace = columnOf(result, "tenant");
+    if (caller.workspace.empty() || !workspace)
         return;
-    std::erase_if(result.rows, [&](const auto &row) { return row[*tenant] != caller.tenant; });
+    std::erase_if(result.rows,
+                  [&](const auto &row) { return row[*workspace] != caller.workspace; });
 }
 
 struct OutcomeText
@@ -115,7 +116,7 @@
 {
     const std::vector<ChangeRecord> changes = backend.recentChanges();
     const auto found = std::find_if(changes.begin(), changes.end(), [&](const auto &record) {
-        const bool visible = caller.tenant.empty() || record.tenant == caller.tenant;
+        const bool visible = caller.workspace.empty() || record.workspace == caller.workspace;
         return visible && record.changeId == changeId;
     });
     if (found == changes.end()) {
--- a/src/language/impl/tables.cpp
+++ b/src/language/impl/tables.cpp
@@ -67,7 +67,7 @@
         for (const auto &[id, target] : service.targets) {
             if (!shown(target))
                 continue;
-            Row row{service.tenant, service.name, target.name, target.domain,
+            Row row{service.workspace, service.name, target.name, target.domain,
                     std::string(baobabtrail::toString(target.state))};
             declared(row, target);
             row.push_back(ownerName(*view, target));
@@ -99,7 +99,7 @@
 
 [[nodiscard]] std::string name(const ServiceName &service)
 {
-    return service.tenant + '/' + service.service;
+    return service.workspace + '/' + service.service;
 }
 
 [[nodiscard]] std::string name(const TargetName &target)
@@ -109,7 +109,10 @@
 
 struct CommandText
 {
-    std::string operator()(const DeclareTenant &c) const { return "declare tenant " + c.tenant; }
+    std::string operator()(const DeclareWorkspace &c) const
+    {
+        return "declare tenant " + c.workspace;
+    }
     std::string operator()(const DeclareService &c) const
     {
         return "declare service " + name(c.service);
@@ -188,8 +191,9 @@
     result.columns = {"tenant", "service", "id", "targets", "queue", "share", "retries"};
     const ConfigPtr config = backend.config();
     for (const auto &[id, service] : config->services) {
-        result.rows.push_back({service.tenant, service.name, text(id), text(service.targets.size()),
-                               text(service.limits.queuePerSlot), text(service.limits.tenantShare),
+        result.rows.push_back({service.workspace, service.name, text(id),
+                               text(service.targets.size()), text(service.limits.queuePerSlot),
+                               text(service.limits.workspaceShare),
                                text(service.limits.retryPercent)});
     }
     return result;
@@ -246,7 +250,7 @@
         }
         result.rows.push_back(
             {text(record.revision), record.changeId,
-             record.tenant.empty() ? NotKnownHere : record.tenant, record.author,
+             record.workspace.empty() ? NotKnownHere : record.workspace, record.author,
              utc(std::chrono::sys_seconds{std::chrono::seconds{record.unixSeconds}}), commands});
     }
     return result;
--- a/src/language/parse.cpp
+++ b/src/language/parse.cpp
@@ -5,7 +5,7 @@
 
 #include <bitset>
 
-BOOST_FUSION_ADAPT_STRUCT(baobabtrail::ServiceName, tenant, service)
+BOOST_FUSION_ADAPT_STRUCT(baobabtrail::ServiceName, workspace, service)
 BOOST_FUSION_ADAPT_STRUCT(baobabtrail::TargetName, service, target)
 BOOST_FUSION_ADAPT_STRUCT(baobabtrail::language::Filter, column, negated, value)
 
@@ -113,7 +113,7 @@
     "queue, share or retries, each once"};
 const auto LimitSettingList_def
     = *((keyword("queue") > PositiveNumber)[store<0>(&ServiceLimits::queuePerSlot)]
-        | (keyword("share") > PositiveNumber)[store<1>(&ServiceLimits::tenantShare)]
+        | (keyword("share") > PositiveNumber)[store<1>(&ServiceLimits::workspaceShare)]
         | (keyword("retries") > Number)[store<2>(&ServiceLimits::retryPercent)]);
 
 const x3::rule<struct LimitsRule, ServiceLimits> Limits{"queue, share or retries, each once"};
@@ -142,16 +142,17 @@
 
 // Commands.
 
-const x3::rule<struct DeclareTenantRuleRule, Command> DeclareTenantRule{"tenant NAME key-hash HEX"};
-const auto DeclareTenantRule_def
-    = (keyword("tenant") > Name > keyword("key-hash") > KeyHash)[MakeOfTwo<DeclareTenant>];
+const x3::rule<struct DeclareWorkspaceRuleRule, Command> DeclareWorkspaceRule{
+    "tenant NAME key-hash HEX"};
+const auto DeclareWorkspaceRule_def
+    = (keyword("tenant") > Name > keyword("key-hash") > KeyHash)[MakeOfTwo<DeclareWorkspace>];
 
 const x3::rule<struct DeclareServiceRuleRule, Command> DeclareServiceRule{"service TENANT/SERVICE"};
 const auto DeclareServiceRule_def
     = (keyword("service") > Service > Limits)[MakeOfTwo<DeclareService>];
 
 const x3::rule<struct DeclareRule, Command> Declare{"tenant NAME or service TENANT/SERVICE"};
-const auto Declare_def = DeclareTenantRule | DeclareServiceRule;
+const auto Declare_def = DeclareWorkspaceRule | DeclareServiceRule;
 
 const x3::rule<struct SetLimitsRuleRule, Command> SetLimitsRule{"limits TENANT/SERVICE"};
 const auto SetLimitsRule_def = (keyword("limits") > Service > Limits)[MakeOfTwo<SetLimits>];
@@ -287,7 +288,7 @@
 
 BOOST_SPIRIT_DEFINE(Name, Text, Service, Target, Number, PositiveNumber, AddressText, Address,
                     KeyHash, Seconds, LimitSettingList, Limits, TargetSettingList,
-                    CompleteTargetSettings, DeclareTenantRule, DeclareServiceRule, Declare,
+                    CompleteTargetSettings, DeclareWorkspaceRule, DeclareServiceRule, Declare,
                     SetLimitsRule, SetWeightRule, Set, TargetObject, Add, Move, Epoch, Rotate,
                     DomainObject, OneCommand, Commands, Column, OneFilter, FilterList, Filters,
                     TableWord, ShowObject, RevisionNumber, WaitSubject, WaitTimeout, WaitObject,
--- a/tests/config/apply_test.cpp
+++ b/tests/config/apply_test.cpp
@@ -20,12 +20,13 @@
     Config config;
     std::int64_t unixSeconds = 1000;
 
-    [[nodiscard]] ApplyResult attempt(std::vector<Command> commands, const std::string &tenant = {})
+    [[nodiscard]] ApplyResult attempt(std::vector<Command> commands,
+                                      const std::string &workspace = {})
     {
         ChangeRecord record = change("c", std::move(commands));
         record.revision = Revision{config.revision.value() + 1};
         record.unixSeconds = unixSeconds;
-        record.tenant = tenant;
+        record.workspace = workspace;
         return applyRecord(config, record);
     }
     void apply(std::vector<Command> commands)
@@ -36,7 +37,7 @@
     }
     [[nodiscard]] const TargetConfig *target(const TargetName &name) const
     {
-        const ServiceId service = serviceId(name.service.tenant, name.service.service);
+        const ServiceId service = serviceId(name.service.workspace, name.service.service);
         return config.target(service, targetId(service, name.target));
     }
 };
@@ -68,8 +69,8 @@
     wrong.slots = 0;
     wrong.flows = Endpoint{};
     const std::vector<std::pair<Command, std::string>> refused{
-        {DeclareTenant{"", "ab"}, "command 1 (declare-tenant ): tenant name \"\" is empty"},
-        {DeclareTenant{"viti", "no hash"}, "key hash is not hexadecimal"},
+        {DeclareWorkspace{"", "ab"}, "command 1 (declare-tenant ): tenant name \"\" is empty"},
+        {DeclareWorkspace{"viti", "no hash"}, "key hash is not hexadecimal"},
         {DeclareService{{"alexandria", "lending"}, {}}, "is declared already"},
         {DeclareService{{"viti", "boarding"}, {}}, "unknown tenant \"viti\""},
         {DeclareService{nowhere, {0, 0, 101}}, "tenant share is 0, expected 1 to 10000"},
@@ -203,16 +204,16 @@
     cr_assert(moved.next.service(serviceId("alexandria", "lending"))->targets.empty());
 }
 
-Test(apply, tenantChangesItsOwnServicesOnly)
+Test(apply, workspaceChangesItsOwnServicesOnly)
 {
     Steps steps = declared();
-    steps.apply({DeclareTenant{"viti", "cd"}, DeclareService{{"viti", "boarding"}, {}}});
+    steps.apply({DeclareWorkspace{"viti", "cd"}, DeclareService{{"viti", "boarding"}, {}}});
     cr_assert(steps.attempt({DrainTarget{T1}}, "alexandria").findings.empty());
     const std::vector<Command> foreign{DrainTarget{T1},
                                        addTarget("lending", "t3", 3),
                                        DeclareService{{"alexandria", "x"}, {}},
                                        SetLimits{{"alexandria", "lending"}, {}},
-                                       DeclareTenant{"viti", "ef"},
+                                       DeclareWorkspace{"viti", "ef"},
                                        RotateKeys{KeyEpoch{2}}};
     for (const Command &command : foreign)
         expectFinding(steps.attempt({command}, "viti"), "the key of tenant \"viti\"");
--- a/tests/config/record_codec_test.cpp
+++ b/tests/config/record_codec_test.cpp
@@ -18,7 +18,7 @@
     const TargetName t1 = targetName("lending", "t1");
     const ServiceName lending = t1.service;
     ChangeRecord record
-        = change("c-1", {DeclareTenant{"alexandria", "ab12"}, DeclareService{lending, {7, 8, 9}},
+        = change("c-1", {DeclareWorkspace{"alexandria", "ab12"}, DeclareService{lending, {7, 8, 9}},
                          addTarget("lending", "t1", 1), DrainTarget{t1}, UndrainTarget{t1},
                          RetireTarget{t1}, RemoveTarget{t1, Generation{1ULL << 63}}, CutTarget{t1},
                          SetLimits{lending, {1, 2, 3}}, SetWeight{t1, 40},
@@ -26,7 +26,7 @@
                          EvacuateDomain{"alx-raml"}, RestoreDomain{"alx-raml"}});
     record.revision = Revision{(1ULL << 63) + 5};
     record.author = "Ann \"quoted\" \xc3\xa9";
-    record.tenant = "alexandria";
+    record.workspace = "alexandria";
     record.unixSeconds = 1'800'000'000;
     record.quarantineSeconds = 30;
     return record;
@@ -54,7 +54,7 @@
         cr_assert(describe(read->commands[i]) == describe(record.commands[i]));
     cr_assert(std::get<RemoveTarget>(read->commands[6]).generation == Generation{1ULL << 63});
     cr_assert(std::get<SetLimits>(read->commands[8]).limits == (ServiceLimits{1, 2, 3}));
-    cr_assert(read->author == record.author && read->tenant == record.tenant);
+    cr_assert(read->author == record.author && read->workspace == record.workspace);
 }
 
 // The store hands back a damaged object, or one that a newer version wrote.
@@ -93,7 +93,7 @@
     Config &config = snapshot.config;
     config.revision = Revision{900};
     config.keyEpoch = KeyEpoch{4};
-    config.tenants["alexandria"] = {"alexandria", "ab12"};
+    config.workspaces["alexandria"] = {"alexandria", "ab12"};
     const ServiceId lending = serviceId("alexandria", "lending");
     ServiceConfig &service = config.services[lending];
     service = {lending, "alexandria", "lending", {1, 2, 3}, {}};
--- a/tests/daemon/metrics_test.cpp
+++ b/tests/daemon/metrics_test.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-[[nodiscard]] Config configOf(int tenants)
+[[nodiscard]] Config configOf(int workspaces)
 {
     Config config;
-    for (int number = 0; number < tenants; ++number) {
+    for (int number = 0; number < workspaces; ++number) {
         const std::string name = "tenant" + std::to_string(number);
-        config.tenants[name] = TenantConfig{name, {}};
+        config.workspaces[name] = WorkspaceConfig{name, {}};
         ServiceConfig service;
         service.id = serviceId(name, "lending");
-        service.tenant = name;
+        service.workspace = name;
         config.services[service.id] = service;
     }
     return config;
 }
 
-[[nodiscard]] RequestObserved answered(int tenant, Duration total)
+[[nodiscard]] RequestObserved answered(int workspace, Duration total)
 {
     RequestObserved observed;
-    observed.service = serviceId("tenant" + std::to_string(tenant), "lending");
+    observed.service = serviceId("tenant" + std::to_string(workspace), "lending");
     observed.total = total;
     observed.queued = total / 2;
     return observed;
@@ -42,14 +42,14 @@
 // A thousand tenants are declared and a caller sends for services that don't exist.
 // Histograms for each would grow without bound, and the page with them; those beyond the bound
 // share one entry, and none of their counts is lost.
-Test(metrics, tenantsBeyondTheBoundShareOneEntry)
+Test(metrics, workspacesBeyondTheBoundShareOneEntry)
 {
     Metrics metrics{3};
-    metrics.tenants().configure(configOf(1000));
-    cr_assert_eq(metrics.tenants().size(), 3);
-    for (int tenant = 0; tenant < 1000; ++tenant)
-        metrics.tenants().observe(answered(tenant, 10ms));
-    metrics.tenants().observe(FlowObserved{ServiceId{99}, FlowEvent::Opened, {}, {}});
+    metrics.workspaces().configure(configOf(1000));
+    cr_assert_eq(metrics.workspaces().size(), 3);
+    for (int workspace = 0; workspace < 1000; ++workspace)
+        metrics.workspaces().observe(answered(workspace, 10ms));
+    metrics.workspaces().observe(FlowObserved{ServiceId{99}, FlowEvent::Opened, {}, {}});
 
     const std::string page = metrics.page({});
     const std::string requests = "baobabtrail_requests_total{tenant=\"";
@@ -59,17 +59,17 @@
     cr_assert(contains(page, "baobabtrail_flows_total{tenant=\"other\",event=\"opened\"} 1"));
     cr_assert(page.find("tenant500") == std::string::npos);
 
-    metrics.tenants().configure(configOf(1));
-    cr_assert_eq(metrics.tenants().size(), 1);
+    metrics.workspaces().configure(configOf(1));
+    cr_assert_eq(metrics.workspaces().size(), 1);
 }
 
 Test(metrics, histogramHoldsCountSumAndCumulativeBuckets)
 {
     Metrics metrics{3};
-    metrics.tenants().configure(configOf(1));
+    metrics.workspaces().configure(configOf(1));
     for (int round = 0; round < 1000; ++round)
-        metrics.tenants().observe(answered(0, round < 900 ? 10ms : 1s));
-    metrics.tenants().observe(answered(0, 1h));
+        metrics.workspaces().observe(answered(0, round < 900 ? 10ms : 1s));
+    metrics.workspaces().observe(answered(0, 1h));
 
     const std::string page = metrics.page({});
     const std::string labels = "{tenant=\"tenant0\",class=\"normal\"";
@@ -84,11 +84,11 @@
 Test(metrics, refusalsAreCountedByCauseAndLabelsAreEscaped)
 {
     Metrics metrics{3};
-    metrics.tenants().configure(configOf(1));
+    metrics.workspaces().configure(configOf(1));
     RequestObserved refused = answered(0, 0s);
     refused.outcome = RequestOutcome::NotRun;
     refused.refusal = RefusalCause::TargetShed;
-    metrics.tenants().observe(refused);
+    metrics.workspaces().observe(refused);
     const std::string page = metrics.page({});
     cr_assert(contains(page, "baobabtrail_request_refusals_total{tenant=\"tenant0\","
                              "class=\"normal\",cause=\"target_shed\"} 1"));
--- a/tests/language/execute_test.cpp
+++ b/tests/language/execute_test.cpp
@@ -29,9 +29,9 @@
         addService("vitilevu", "boarding", TargetState::Active);
     }
 
-    void addService(const std::string &tenant, const std::string &name, TargetState state)
+    void addService(const std::string &workspace, const std::string &name, TargetState state)
     {
-        ServiceConfig service{serviceId(tenant, name), tenant, name, {}, {}};
+        ServiceConfig service{serviceId(workspace, name), workspace, name, {}, {}};
         TargetConfig target;
         target.id = targetId(service.id, "t1");
         target.name = "t1";
@@ -71,9 +71,9 @@
         return made;
     }
 
-    [[nodiscard]] Result run(const std::string &text, const std::string &tenant = {})
+    [[nodiscard]] Result run(const std::string &text, const std::string &workspace = {})
     {
-        Request request{text, "c1", std::nullopt, false, {"ada", tenant}};
+        Request request{text, "c1", std::nullopt, false, {"ada", workspace}};
         Result result;
         const Backend made = backend();
         execute(made, request, [&result](const Result &answer) { result = answer; });
@@ -107,21 +107,21 @@
     cr_assert_eq(refused.messages.size(), 1U);
 }
 
-Test(execute, aTenantSeesOnlyItsOwn)
+Test(execute, aWorkspaceSeesOnlyItsOwn)
 {
     FakeBackend fake;
     cr_assert_eq(fake.run("show targets", "vitilevu").rows.size(), 1U);
     cr_assert_eq(fake.run("show drains", "vitilevu").rows.size(), 0U);
 }
 
-Test(execute, changeCarriesIdAuthorAndTenant)
+Test(execute, changeCarriesIdAuthorAndWorkspace)
 {
     FakeBackend fake;
     const Result result = fake.run("drain target alexandria/lending/t1", "alexandria");
     cr_assert(result.status == Status::Done);
     cr_assert(fake.proposed.draft.changeId == "c1");
     cr_assert(fake.proposed.draft.author == "ada");
-    cr_assert(fake.proposed.draft.tenant == "alexandria");
+    cr_assert(fake.proposed.draft.workspace == "alexandria");
     cr_assert_eq(fake.proposed.draft.commands.size(), 1U);
 }
 
@@ -169,7 +169,7 @@
     fake.config->services[lending].targets[target].generation = generation;
     fake.token = FlowToken{lending, target, generation, *parseEndpoint("10.0.0.1:80"), {}, {}, {}};
     const auto explained
-        = [&fake](const char *tenant) { return fake.run("explain flow 42 00", tenant); };
+        = [&fake](const char *workspace) { return fake.run("explain flow 42 00", workspace); };
     cr_assert(explained("").messages.back() == "its datagrams go to 10.0.0.1:80");
     cr_assert(explained("vitilevu").status == Status::Refused);
     fake.config->services[lending].targets[target].state = TargetState::Cut;
@@ -196,7 +196,7 @@
     ChangeRecord record;
     record.revision = Revision{4};
     record.changeId = "c1";
-    record.tenant = "alexandria";
+    record.workspace = "alexandria";
     fake.changes.push_back(record);
     fake.statuses = {{domainAt("alx-raml", Revision{4}), domainAt("alx-agami", Revision{3})}};
     const Result result = fake.run("show change c1");
--- a/tests/language/parse_test.cpp
+++ b/tests/language/parse_test.cpp
@@ -57,7 +57,7 @@
 {
     const std::string hash(64, 'a');
     cr_assert(
-        std::get<DeclareTenant>(
+        std::get<DeclareWorkspace>(
             parsed<Change>(("declare tenant alexandria key-hash " + hash).c_str()).commands.front())
             .keyHash
         == hash);
--- a/tests/limits/admission_queue_test.cpp
+++ b/tests/limits/admission_queue_test.cpp
@@ -17,11 +17,11 @@
     }
 
     [[nodiscard]] std::optional<QueueRefusal> push(RequestClass requestClass,
-                                                   const std::string &tenant = "school",
+                                                   const std::string &workspace = "school",
                                                    Duration left = 10s, bool ready = true)
     {
-        return queue.push({{0, ++last}, requestClass, tenant, now + left, now, ready}, now, random,
-                          displaced);
+        return queue.push({{0, ++last}, requestClass, workspace, now + left, now, ready}, now,
+                          random, displaced);
     }
 
     [[nodiscard]] std::optional<QueueEntry> pop() { return queue.pop(now, expired); }
@@ -66,26 +66,26 @@
 
 // One tenant fills the queue before the other's first request arrives.
 // The other still gets its half of the places and of the turns, or by weight.
-Test(admissionQueue, aFloodCostsOtherTenantsLittle)
+Test(admissionQueue, aFloodCostsOtherWorkspacesLittle)
 {
     for (const std::uint32_t weight : {100U, 300U}) {
         Line line{40};
-        line.queue.setTenantWeight("library", weight);
+        line.queue.setWorkspaceWeight("library", weight);
         for (int i = 0; i < 100; ++i)
             (void)line.push(RequestClass::Normal, "flood");
         cr_assert(line.push(RequestClass::Normal, "flood")->cause == RefusalCause::Overload);
         for (int i = 0; i < 10; ++i)
             cr_assert_not(line.push(RequestClass::Normal, "library"));
-        cr_assert(line.push(RequestClass::Normal, "flood")->cause == RefusalCause::TenantLimit);
+        cr_assert(line.push(RequestClass::Normal, "flood")->cause == RefusalCause::WorkspaceLimit);
         std::map<std::string, std::uint32_t> turns;
         for (int i = 0; i < 12; ++i)
-            ++turns[line.pop()->tenant];
+            ++turns[line.pop()->workspace];
         cr_assert_eq(turns["library"], weight == 100 ? 6U : 9U);
     }
 }
 
 // A tenant that was away comes back. It gets its turns from now on, not those that it missed.
-Test(admissionQueue, anIdleTenantSavesUpNoTurns)
+Test(admissionQueue, anIdleWorkspaceSavesUpNoTurns)
 {
     Line line{100};
     for (int i = 0; i < 50; ++i) {
@@ -98,7 +98,7 @@
     }
     std::map<std::string, int> turns;
     for (int i = 0; i < 10; ++i)
-        ++turns[line.pop()->tenant];
+        ++turns[line.pop()->workspace];
     cr_assert(turns["school"] >= 4 && turns["school"] <= 6);
 }
 
--- a/tests/matrix/cell.h
+++ b/tests/matrix/cell.h
@@ -125,7 +125,7 @@
     const auto add = [&](ServiceId id, const std::string &name, std::uint32_t count) {
         ServiceConfig &service = m_config->services[id];
         service.id = id;
-        service.tenant = "alexandria";
+        service.workspace = "alexandria";
         service.name = name;
         for (std::uint32_t i = 0; i < count; ++i) {
             TargetConfig target;
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -97,8 +97,8 @@
     cr_assert_leq(ours.classes[0].refused * 100, ours.classes[0].offered);
     cr_assert_leq(quantile(ours.refusalTimes, 0.5), 3.0);
     cr_assert_leq(quantile(ours.refusalTimes, 0.99), 100.0);
-    const auto answered = [&](const char *tenant) {
-        const ClassResult &counts = ours.tenants.at(tenant);
+    const auto answered = [&](const char *workspace) {
+        const ClassResult &counts = ours.workspaces.at(workspace);
         return static_cast<double>(counts.answered) / static_cast<double>(counts.offered);
     };
     cr_assert_geq(answered("tenant0"), 1.5 * answered("flood"));
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -206,13 +206,13 @@
 Test(accessKeys, findTheirHolder)
 {
     Config config;
-    config.tenants["alexandria"] = TenantConfig{"alexandria", accessKeyHash("tenant key")};
+    config.workspaces["alexandria"] = WorkspaceConfig{"alexandria", accessKeyHash("tenant key")};
     const std::vector<std::string> operators{accessKeyHash("operator key")};
-    cr_assert(findCaller("tenant key", operators, config)->tenant == "alexandria");
-    cr_assert(findCaller("operator key", operators, config)->tenant.empty());
+    cr_assert(findCaller("tenant key", operators, config)->workspace == "alexandria");
+    cr_assert(findCaller("operator key", operators, config)->workspace.empty());
     cr_assert(!findCaller("another key", operators, config));
     cr_assert(!findCaller("", operators, config));
-    config.tenants["broken"] = TenantConfig{"broken", ""};
+    config.workspaces["broken"] = WorkspaceConfig{"broken", ""};
     cr_assert(!findCaller("", operators, config));
 }
 
--- a/tests/support/change_builder.h
+++ b/tests/support/change_builder.h
@@ -44,7 +44,7 @@
 [[nodiscard]] inline ChangeRecord declaration(std::string id = "declare")
 {
     return change(std::move(id),
-                  {DeclareTenant{"alexandria", "ab12"},
+                  {DeclareWorkspace{"alexandria", "ab12"},
                    DeclareService{{"alexandria", "lending"}, {}},
                    DeclareService{{"alexandria", "catalogue"}, {}}, addTarget("lending", "t1", 1)});
 }
--- a/tests/support/node_rig.h
+++ b/tests/support/node_rig.h
@@ -24,7 +24,7 @@
         config.revision = Revision{10};
         ServiceConfig &lending = config.services[service];
         lending.id = service;
-        lending.tenant = "alexandria";
+        lending.workspace = "alexandria";
         lending.name = "lending";
         for (std::uint32_t i = 0; i < targetCount; ++i)
             addTarget("t" + std::to_string(i), slots);
