--- a/bench/policy/request_run_impl.h
+++ b/bench/policy/request_run_impl.h
@@ -62,7 +62,7 @@
         return job;
     boost::random::uniform_real_distribution<double> part{0, 1};
     const double kind = part(m_jobs);
-    // The flood comes in the class of the swaps; three tenants share the rest evenly.
+    // The flood comes in the class of the swaps; three workspaces share the rest evenly.
     if (part(m_jobs) < 0.7) {
         job.workspace = "flood";
         job.requestClass = RequestClass::Normal;
--- a/bench/policy/scenario.h
+++ b/bench/policy/scenario.h
@@ -29,7 +29,7 @@
     double load = 0.9; ///< Offered over the capacity of all targets.
     bool bursty = false;
     Fault fault = Fault::None;
-    bool mixed = false; ///< Three classes, and one of four tenants sends seven tenths of all.
+    bool mixed = false; ///< Three classes, and one of four workspaces sends seven tenths of all.
     Duration length = 60s;
     Duration faultAt = 5s;
     Duration measuredFrom = 2s;
--- a/src/core/config/apply.cpp
+++ b/src/core/config/apply.cpp
@@ -44,6 +44,7 @@
     void operator()(const DeclareService &command)
     {
         const ServiceId id = serviceId(command.service.workspace, command.service.service);
+        // Findings call workspaces tenants, as the operators' language does.
         if (!config().workspaces.contains(command.service.workspace))
             return add("unknown tenant \"" + command.service.workspace + '"');
         if (const ServiceConfig *holder = config().service(id)) {
--- a/src/core/config/config.h
+++ b/src/core/config/config.h
@@ -46,7 +46,7 @@
 struct ServiceLimits
 {
     std::uint32_t queuePerSlot = 4; ///< Requests that wait at an owner for each slot of a target.
-    std::uint32_t workspaceShare = 100; ///< Weight of the tenant when a daemon's queues are full.
+    std::uint32_t workspaceShare = 100; ///< Weight of the workspace in a daemon's full queues.
     std::uint32_t retryPercent = 10;    ///< Retries allowed for every hundred first attempts.
 
     friend bool operator==(const ServiceLimits &, const ServiceLimits &) = default;
@@ -86,7 +86,7 @@
 struct WorkspaceConfig
 {
     std::string name;
-    std::string keyHash; ///< Hash of the tenant's key for the administration API, hexadecimal.
+    std::string keyHash; ///< Hash of the workspace's key for the administration API, hexadecimal.
 
     friend bool operator==(const WorkspaceConfig &, const WorkspaceConfig &) = default;
 };
--- a/src/core/config/impl/json_fields.cpp
+++ b/src/core/config/impl/json_fields.cpp
@@ -92,6 +92,7 @@
     return FieldReader{value(field), m_place + '.' + std::string{field}};
 }
 
+// Workspaces are called tenants in stored records.
 json::object toJson(const ServiceLimits &limits)
 {
     return {{"queue-per-slot", limits.queuePerSlot},
--- a/src/core/config/record_codec.cpp
+++ b/src/core/config/record_codec.cpp
@@ -113,6 +113,7 @@
     return toString(command.service);
 }
 
+// Workspaces are called tenants in stored records.
 [[nodiscard]] json::object toJson(const ServiceName &name)
 {
     return {{"tenant", name.workspace}, {"service", name.service}};
--- a/src/core/config/snapshot.cpp
+++ b/src/core/config/snapshot.cpp
@@ -52,6 +52,7 @@
     return target;
 }
 
+// Workspaces are called tenants in stored snapshots.
 [[nodiscard]] json::object toJson(const ServiceConfig &service)
 {
     return {{"item", "service"},
--- a/src/core/config/validate.cpp
+++ b/src/core/config/validate.cpp
@@ -32,6 +32,7 @@
 
     void operator()(const DeclareWorkspace &command)
     {
+        // Findings call workspaces tenants, as the operators' language does.
         name("tenant", command.workspace);
         const std::string &hash = command.keyHash;
         if (hash.empty() || hash.size() > MaxKeyHashLength)
@@ -171,7 +172,7 @@
             else if constexpr (requires { typed.service.workspace; })
                 return typed.service.workspace;
             else
-                return {}; // Tenants, keys and failure domains are the whole system's matter.
+                return {}; // Workspaces, keys and failure domains are the whole system's matter.
         },
         command);
 }
--- a/src/core/config/validate.h
+++ b/src/core/config/validate.h
@@ -18,7 +18,7 @@
 inline constexpr std::uint32_t MaxSlots = 4096;
 inline constexpr std::uint32_t MaxWeight = 10000;
 
-/// \return What is wrong with a name of a tenant, service, target or failure domain, or nothing.
+/// \return What is wrong with a name of a workspace, service, target or failure domain, or nothing.
 [[nodiscard]] std::optional<std::string> checkName(std::string_view name);
 
 /// \brief Checks names, ranges and addresses of one command.
@@ -28,7 +28,7 @@
 /// \brief Checks the parts of a record beside its commands.
 void checkRecord(const ChangeRecord &record, Findings &findings);
 
-/// \return The tenant whose configuration \a command changes; empty for the whole system.
+/// \return The workspace whose configuration \a command changes; empty for the whole system.
 [[nodiscard]] std::string workspaceOf(const Command &command);
 
 } // namespace baobabtrail
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -38,9 +38,9 @@
     Value m_value{};
 };
 
-/// Hash of "tenant/service"; see serviceId().
+/// Hash of "workspace/service"; see serviceId().
 using ServiceId = StrongId<struct ServiceIdTag>;
-/// Hash of "tenant/service/target"; see targetId().
+/// Hash of "workspace/service/target"; see targetId().
 using TargetId = StrongId<struct TargetIdTag>;
 /// The revision that declared a target; a target declared anew under its old name gets a new one.
 using Generation = StrongId<struct GenerationTag>;
@@ -71,9 +71,9 @@
 std::ostream &operator<<(std::ostream &out, const RequestId &id);
 
 /// \brief Id of a service, the same on every daemon without any agreement.
-/// \param workspace Name of the tenant.
-/// \param service Name of the service within the tenant.
-/// \return The 64-bit hash of "tenant/service".
+/// \param workspace Name of the workspace.
+/// \param service Name of the service within the workspace.
+/// \return The 64-bit hash of "workspace/service".
 [[nodiscard]] ServiceId serviceId(std::string_view workspace, std::string_view service);
 
 /// \brief Id of a target, the same on every daemon without any agreement.
--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -61,7 +61,7 @@
     if (lanes.size() < capacity)
         return true;
     displaced = lanes.takeNewestOfLesserClass(entry.requestClass);
-    // A tenant that floods fills every place; the others take their shares back from it.
+    // A workspace that floods fills every place; the others take their shares back from it.
     if (!displaced)
         displaced = lanes.takeNewestOfGreedier(entry);
     return displaced.has_value();
--- a/src/core/limits/admission_queue.h
+++ b/src/core/limits/admission_queue.h
@@ -32,9 +32,10 @@
 
 /// \brief The short queue of one target at its owner.
 ///
-/// Urgent requests go first; within a class, tenants take turns by their weights. What can't start
-/// before its deadline at the pace seen lately is refused when it arrives, not when it is too late.
-/// A more urgent arrival may displace the newest entry of a lesser class that has not started.
+/// Urgent requests go first; within a class, workspaces take turns by their weights. What can't
+/// start before its deadline at the pace seen lately is refused when it arrives, not when it is too
+/// late. A more urgent arrival may displace the newest entry of a lesser class that has not
+/// started.
 class AdmissionQueue
 {
 public:
@@ -45,7 +46,7 @@
     AdmissionQueue &operator=(AdmissionQueue &&) noexcept;
 
     void setCapacity(std::size_t capacity) noexcept;
-    /// \param weight Share of the tenant, 100 for an ordinary one.
+    /// \param weight Share of the workspace, 100 for an ordinary one.
     void setWorkspaceWeight(const std::string &workspace, std::uint32_t weight);
 
     /// \brief Takes a place.
--- a/src/core/limits/impl/queue_lanes.cpp
+++ b/src/core/limits/impl/queue_lanes.cpp
@@ -35,7 +35,7 @@
     if (m_byRequest.contains(entry.request))
         return;
     Workspace &workspace = workspaceOf(entry.workspace);
-    // A tenant that was away starts level with the others: time that it did not use gives it no
+    // A workspace that was away starts level with the others: time that it did not use gives it no
     // claim to run alone now.
     if (workspace.held == 0)
         workspace.virtualTime = std::max(workspace.virtualTime, m_virtualTime);
--- a/src/core/limits/impl/queue_lanes.h
+++ b/src/core/limits/impl/queue_lanes.h
@@ -13,10 +13,10 @@
 
 namespace baobabtrail::impl {
 
-/// \brief The entries of an AdmissionQueue: by class, then tenant, then arrival.
+/// \brief The entries of an AdmissionQueue: by class, then workspace, then arrival.
 ///
-/// Tenants take turns by virtual time: each start moves a tenant's on by the inverse of its weight,
-/// and the tenant that is furthest behind starts next.
+/// Workspaces take turns by virtual time: each start moves a workspace's on by the inverse of its
+/// weight, and the workspace that is furthest behind starts next.
 class QueueLanes
 {
 public:
@@ -29,14 +29,14 @@
     [[nodiscard]] std::optional<QueueEntry> takeNext();
     void takeExpired(TimePoint now, std::vector<QueueEntry> &expired);
     [[nodiscard]] std::optional<QueueEntry> takeNewestOfLesserClass(RequestClass than);
-    /// \brief Takes the newest entry of the arrival's class from the tenant that holds most for its
-    /// weight, where that is more than the arrival's tenant would hold.
+    /// \brief Takes the newest entry of the arrival's class from the workspace that holds most for
+    /// its weight, where that is more than the arrival's workspace would hold.
     [[nodiscard]] std::optional<QueueEntry> takeNewestOfGreedier(const QueueEntry &arrival);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_byRequest.size(); }
     /// \return Entries that start before \a arrival would.
     [[nodiscard]] std::size_t ahead(const QueueEntry &arrival) const noexcept;
-    /// \return Whether others wait too and the tenant holds at least its share of the places.
+    /// \return Whether others wait too and the workspace holds at least its share of the places.
     [[nodiscard]] bool aboveShare(const std::string &workspace, std::size_t capacity) const;
 
 private:
@@ -70,7 +70,7 @@
     std::set<std::pair<TimePoint, RequestId>> m_byDeadline;
     std::array<std::size_t, RequestClassCount> m_perClass{};
     Sequence m_next = 0;
-    double m_virtualTime = 0; ///< Of the tenant that started last.
+    double m_virtualTime = 0; ///< Of the workspace that started last.
 };
 
 } // namespace baobabtrail::impl
--- a/src/core/limits/retry_budget.h
+++ b/src/core/limits/retry_budget.h
@@ -9,7 +9,7 @@
 /// \brief Bounds retries to a share of first attempts, so that they never amplify an overload.
 ///
 /// Every first attempt earns a part of a retry, every retry spends a whole one. A small reserve
-/// lets a quiet tenant retry at all.
+/// lets a quiet workspace retry at all.
 class RetryBudget
 {
 public:
--- a/src/core/messages/flow.h
+++ b/src/core/messages/flow.h
@@ -33,7 +33,7 @@
     UnknownService, ///< Not in the configuration of the daemon that was asked.
     NoTarget,       ///< No target of the service may take work now.
     Overload,       ///< Queues and slots are full.
-    WorkspaceLimit, ///< The tenant's fair share or retry budget is used up.
+    WorkspaceLimit, ///< The workspace's fair share or retry budget is used up.
     TableFull,      ///< The daemon's own bound on state.
     DeadlinePassed, ///< Too late to start before the deadline.
     Stopping,       ///< The daemon is leaving; ask again, another one will answer.
--- a/src/core/requests/request_table.cpp
+++ b/src/core/requests/request_table.cpp
@@ -8,7 +8,7 @@
 bool RequestTable::shareUsed(const std::string &workspace, std::uint32_t weight,
                              std::uint64_t weights) const noexcept
 {
-    // While there is room a tenant may use what others leave.
+    // While there is room a workspace may use what others leave.
     if (m_records.size() < m_capacity / 2)
         return false;
     const auto found = m_perWorkspace.find(workspace);
--- a/src/core/requests/request_table.h
+++ b/src/core/requests/request_table.h
@@ -21,8 +21,8 @@
 
     [[nodiscard]] std::size_t size() const noexcept { return m_records.size(); }
     [[nodiscard]] bool full() const noexcept { return m_records.size() >= m_capacity; }
-    /// \return Whether a tenant has used up its share of a table that is getting full.
-    /// \param weight Of the tenant, relative to \a weights, the sum over all tenants.
+    /// \return Whether a workspace has used up its share of a table that is getting full.
+    /// \param weight Of the workspace, relative to \a weights, the sum over all workspaces.
     [[nodiscard]] bool shareUsed(const std::string &workspace, std::uint32_t weight,
                                  std::uint64_t weights) const noexcept;
     [[nodiscard]] RequestRecord *find(const RequestId &id) noexcept;
--- a/src/core/requests/waiting_line.h
+++ b/src/core/requests/waiting_line.h
@@ -18,7 +18,7 @@
     {
     }
 
-    /// \param capacity Most places. \param weight Share of the tenant.
+    /// \param capacity Most places. \param weight Share of the workspace.
     void configure(std::size_t capacity, const std::string &workspace, std::uint32_t weight);
 
     /// \brief Takes a place.
--- a/src/core/targets/impl/owner_side.cpp
+++ b/src/core/targets/impl/owner_side.cpp
@@ -149,7 +149,7 @@
         return;
     case AttemptEnd::TimedOut:
         // A caller with a very short deadline says nothing about the target: counted, one
-        // impatient tenant could eject every target of the service.
+        // impatient workspace could eject every target of the service.
         if (ran >= PatienceInServiceTimes * usual)
             record.evidence.unanswered(now);
         return;
--- a/src/core/traffic/node_context.h
+++ b/src/core/traffic/node_context.h
@@ -33,7 +33,7 @@
     ConfigPtr config; ///< Never null.
     ViewPtr view;     ///< Never null.
     bool stopping = false;
-    std::uint64_t workspaceWeights = 0;                             ///< Sum of the tenants' shares.
+    std::uint64_t workspaceWeights = 0; ///< Sum of the workspaces' shares.
     std::unordered_map<TargetId, const TargetConfig *> targetIndex; ///< Into the configuration.
 
     /// Members that were in the view and are no longer; bounded.
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -30,7 +30,7 @@
 {
 public:
     /// \param daemons Addresses of administration APIs, tried in their order.
-    /// \param key Key of an operator or a tenant. \param timeout For one daemon.
+    /// \param key Key of an operator or a workspace. \param timeout For one daemon.
     AdminClient(std::vector<Endpoint> daemons, std::string key, Duration timeout);
 
     /// \brief Asks the first daemon that answers. Asking the next one after a lost reply is
--- a/src/daemon/admin/access_keys.h
+++ b/src/daemon/admin/access_keys.h
@@ -13,7 +13,7 @@
 /// \brief Says who an access key belongs to.
 /// \param key What the request carries.
 /// \param operatorHashes Hashes of the operators' keys.
-/// \param config Holds the hashes of the tenants' keys.
+/// \param config Holds the hashes of the workspaces' keys.
 /// \return The caller, or nothing where nobody has the key.
 [[nodiscard]] std::optional<language::Caller>
 findCaller(std::string_view key, const std::vector<std::string> &operatorHashes,
--- a/src/daemon/log/log.cpp
+++ b/src/daemon/log/log.cpp
@@ -99,6 +99,7 @@
         return false;
 
     LogEvent line{notice.severity, notice.part, notice.text};
+    // Workspaces are called tenants in log fields.
     if (const ServiceConfig *service = config.service(notice.service))
         line.field("tenant", service->workspace).field("service", service->name);
     if (!notice.change.empty())
--- a/src/daemon/metrics/names.h
+++ b/src/daemon/metrics/names.h
@@ -11,6 +11,7 @@
 
 namespace baobabtrail::daemon {
 
+// Workspaces are called tenants in metrics.
 inline constexpr std::array<std::string_view, 9> RefusalNames{
     "unknown_service", "no_target", "overload",  "tenant_limit", "table_full",
     "deadline_passed", "stopping",  "cancelled", "target_shed"};
--- a/src/daemon/metrics/workspace_metrics.cpp
+++ b/src/daemon/metrics/workspace_metrics.cpp
@@ -104,6 +104,7 @@
     writeFlows(page);
 }
 
+// Workspaces are called tenants in the labels of metrics.
 void WorkspaceMetrics::writeRequests(Exposition &page) const
 {
     const auto forEachClass = [this](auto write) {
--- a/src/daemon/metrics/workspace_metrics.h
+++ b/src/daemon/metrics/workspace_metrics.h
@@ -12,21 +12,22 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Histograms and counts of each tenant and class.
+/// \brief Histograms and counts of each workspace and class.
 ///
-/// Memory is bounded by the number of tenants it was made for: those beyond it, and work for a
-/// service that the configuration doesn't name, share the tenant "other".
+/// Memory is bounded by the number of workspaces it was made for: those beyond it, and work for a
+/// service that the configuration doesn't name, share the workspace "other".
 class WorkspaceMetrics
 {
 public:
     explicit WorkspaceMetrics(std::size_t maxWorkspaces);
 
-    /// \brief Learns which service belongs to which tenant; drops what tenants had that are gone.
+    /// \brief Learns which service belongs to which workspace; drops what workspaces had that are
+    /// gone.
     void configure(const Config &config);
     void observe(const Observation &observation);
     void write(Exposition &page) const;
 
-    /// \return Tenants with an entry of their own.
+    /// \return Workspaces with an entry of their own.
     [[nodiscard]] std::size_t size() const noexcept { return m_workspaces.size(); }
 
 private:
--- a/src/daemon/settings/settings.h
+++ b/src/daemon/settings/settings.h
@@ -56,7 +56,7 @@
 
 struct MetricsSettings
 {
-    std::size_t maxWorkspaces = 64; ///< Tenants with histograms of their own; the rest share one.
+    std::size_t maxWorkspaces = 64; ///< Workspaces that have own histograms; the rest share one.
 };
 
 /// \brief When a child is restarted, and when its parent gives up.
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -315,6 +315,7 @@
     reader.section("records", [&](ObjectReader &nested) { readRecords(nested, out.records); });
     reader.section("log", [&](ObjectReader &nested) { readLog(nested, out.log); });
     reader.section("metrics", [&](ObjectReader &nested) {
+        // Workspaces are called tenants in settings.
         nested.number("maxTenants", out.metrics.maxWorkspaces, 1, 4096);
     });
     reader.section("restarts", [&](ObjectReader &nested) { readRestarts(nested, out.restarts); });
--- a/src/language/filter_rows.cpp
+++ b/src/language/filter_rows.cpp
@@ -18,12 +18,13 @@
 }
 
 /// \brief Whether a cell has the value that a filter names; a service may be given as
-/// "tenant/service".
+/// "workspace/service".
 [[nodiscard]] bool holds(const Result &result, const std::vector<std::string> &row,
                          std::size_t column, const std::string &value)
 {
     if (row[column] == value)
         return true;
+    // Workspaces are called tenants in columns of tables.
     const auto workspace = columnOf(result, "tenant");
     return result.columns[column] == "service" && workspace
            && row[*workspace] + '/' + row[column] == value;
--- a/src/language/impl/explain.cpp
+++ b/src/language/impl/explain.cpp
@@ -43,7 +43,7 @@
     return Result{Status::Refused, {std::move(why)}, {}, {}};
 }
 
-/// Explaining a token to another tenant would show whose target has which address.
+/// Explaining a token to another workspace would show whose target has which address.
 [[nodiscard]] bool mayExplain(const Caller &caller, const ServiceConfig *service)
 {
     return caller.workspace.empty() || (service && service->workspace == caller.workspace);
@@ -71,6 +71,7 @@
     const TokenError error = backend.checkFlowToken(statement.flow, *token);
     if (error != TokenError::None)
         return refused(describe(error, token->epoch));
+    // Messages call workspaces tenants, as the operators' language does.
     if (!mayExplain(caller, config->service(token->service)))
         return refused("the flow belongs to no service of this tenant");
 
--- a/src/language/impl/queries.cpp
+++ b/src/language/impl/queries.cpp
@@ -34,9 +34,10 @@
     return {};
 }
 
-/// \brief Removes what belongs to other tenants: a tenant's key shows only its own.
+/// \brief Removes what belongs to other workspaces: a workspace's key shows only its own.
 void keepVisible(Result &result, const Caller &caller)
 {
+    // Workspaces are called tenants in columns of tables.
     const auto workspace = columnOf(result, "tenant");
     if (caller.workspace.empty() || !workspace)
         return;
--- a/src/language/impl/tables.cpp
+++ b/src/language/impl/tables.cpp
@@ -107,6 +107,7 @@
     return name(target.service) + '/' + target.target;
 }
 
+// Workspaces are called tenants in commands and in columns of tables.
 struct CommandText
 {
     std::string operator()(const DeclareWorkspace &c) const
--- a/src/language/parse.cpp
+++ b/src/language/parse.cpp
@@ -54,6 +54,7 @@
 const auto Text_def
     = x3::lexeme[+x3::char_("a-zA-Z0-9_./:-")] | x3::lexeme['\'' > *(x3::char_ - '\'') > '\''];
 
+// Workspaces are called tenants in the operators' language.
 const x3::rule<struct ServiceRule, ServiceName> Service{"a service name (tenant/service)"};
 const auto Service_def = Name >> '/' >> Name;
 
--- a/src/wire/flow_frames.cpp
+++ b/src/wire/flow_frames.cpp
@@ -4,6 +4,7 @@
 
 namespace baobabtrail::wire::impl {
 
+// RefusalCause::WorkspaceLimit is REFUSAL_TENANT_LIMIT on the wire.
 static_assert(static_cast<int>(RefusalCause::TargetShed) == pb::REFUSAL_TARGET_SHED);
 static_assert(static_cast<int>(ResetCause::WrongService) == pb::RESET_WRONG_SERVICE);
 
--- a/standins/caller/main.cpp
+++ b/standins/caller/main.cpp
@@ -10,6 +10,7 @@
 #include "wire/codec.h"
 
 DEFINE_string(fabric, "", "the fabric's address for callers");
+// Workspaces are called tenants in flags.
 DEFINE_string(tenant, "alexandria", "tenant of the service");
 DEFINE_string(service, "lending", "name of the service");
 DEFINE_uint32(feeds, 0, "feeds that are held open");
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -9,6 +9,7 @@
 
 #include <sstream>
 
+// Workspaces are called tenants in flags.
 DEFINE_string(tenant, "alexandria", "tenant of the service");
 DEFINE_string(service, "lending", "name of the service");
 DEFINE_string(name, "t1", "name of the target");
--- a/tests/daemon/metrics_test.cpp
+++ b/tests/daemon/metrics_test.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-// A thousand tenants are declared and a caller sends for services that don't exist.
+// A thousand workspaces are declared and a caller sends for services that don't exist.
 // Histograms for each would grow without bound, and the page with them; those beyond the bound
 // share one entry, and none of their counts is lost.
 Test(metrics, workspacesBeyondTheBoundShareOneEntry)
--- a/tests/language/execute_test.cpp
+++ b/tests/language/execute_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// \brief A backend with one service of two tenants each, and answers that a test sets.
+/// \brief A backend with one service of two workspaces each, and answers that a test sets.
 struct FakeBackend
 {
     std::shared_ptr<Config> config = std::make_shared<Config>();
--- a/tests/limits/admission_queue_test.cpp
+++ b/tests/limits/admission_queue_test.cpp
@@ -64,7 +64,7 @@
     cr_assert_eq(line.queue.size(), 3U);
 }
 
-// One tenant fills the queue before the other's first request arrives.
+// One workspace fills the queue before the other's first request arrives.
 // The other still gets its half of the places and of the turns, or by weight.
 Test(admissionQueue, aFloodCostsOtherWorkspacesLittle)
 {
@@ -84,7 +84,7 @@
     }
 }
 
-// A tenant that was away comes back. It gets its turns from now on, not those that it missed.
+// A workspace that was away comes back. It gets its turns from now on, not those that it missed.
 Test(admissionQueue, anIdleWorkspaceSavesUpNoTurns)
 {
     Line line{100};
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -82,9 +82,9 @@
                   static_cast<unsigned long long>(ours.classes[1].refused));
 }
 
-// Twice the capacity is offered, seven tenths of it by one tenant.
+// Twice the capacity is offered, seven tenths of it by one workspace.
 // The targets stay busy with work that is answered, pass checks get through, most refusals come at
-// once, and the other tenants get more of their work done than the one that floods.
+// once, and the other workspaces get more of their work done than the one that floods.
 Test(policy, overloadRefusesAtOnceAndPassChecksLeast)
 {
     Scenario scenario;
--- a/tests/requests/owner_test.cpp
+++ b/tests/requests/owner_test.cpp
@@ -154,7 +154,7 @@
 }
 
 // Both targets shed whatever they get. Each shed request may go to the other one, but all retries
-// together stay within the tenant's budget: ten saved up and a tenth of the first attempts.
+// together stay within the workspace's budget: ten saved up and a tenth of the first attempts.
 Test(requestOwner, keepsRetriesWithinTheBudget)
 {
     NodeRig rig{2, 4};
--- a/tests/support/change_builder.h
+++ b/tests/support/change_builder.h
@@ -40,7 +40,7 @@
     return record;
 }
 
-/// \return Declares a tenant with the services lending and catalogue and one target of lending.
+/// \return Declares a workspace with the services lending and catalogue and one target of lending.
 [[nodiscard]] inline ChangeRecord declaration(std::string id = "declare")
 {
     return change(std::move(id),
--- a/tests/targets/evidence_test.cpp
+++ b/tests/targets/evidence_test.cpp
@@ -49,7 +49,7 @@
     cr_assert(fleet.health(0) == TargetHealth::Ejected);
 }
 
-// A tenant sends requests whose deadlines are far below the service time; all time out.
+// A workspace sends requests whose deadlines are far below the service time; all time out.
 // The target did nothing wrong and must not be ejected for the others.
 Test(evidence, veryShortDeadlinesEjectNobody)
 {
