--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -57,14 +57,14 @@
 void DirectRouter::putTarget(const RegisteredTarget &target, TimePoint now)
 {
     const DirectTarget *known = m_targets.find(target.id);
-    const auto before = known ? std::optional{m_targets.belief(*known)} : std::nullopt;
-    const bool startedAgain = m_targets.put(target, now);
-    if (startedAgain)
+    const auto before = known ? std::optional{m_targets.state(*known)} : std::nullopt;
+    const bool restarted = m_targets.put(target, now);
+    if (restarted)
         m_gate.forget(target.id);
     const DirectTarget &current = *m_targets.find(target.id);
-    const TargetBelief after = m_targets.belief(current);
-    if ((startedAgain || before != after) && m_observer.believed)
-        m_observer.believed({current, after, startedAgain});
+    const DirectTargetState after = m_targets.state(current);
+    if ((restarted || before != after) && m_observer.stateChanged)
+        m_observer.stateChanged({current, after, restarted});
 }
 
 void DirectRouter::refuseTarget(TargetId target)
@@ -73,8 +73,8 @@
     if (!known || known->refused)
         return;
     m_targets.refuse(target);
-    if (m_observer.believed)
-        m_observer.believed({*known, m_targets.belief(*known)});
+    if (m_observer.stateChanged)
+        m_observer.stateChanged({*known, m_targets.state(*known)});
 }
 
 bool DirectRouter::setEvacuated(const std::string &domain, bool evacuated, TimePoint now)
@@ -93,8 +93,8 @@
 {
     m_targets.remove(target, lapsed, now);
     const DirectTarget *known = m_targets.find(target);
-    if (known && m_observer.believed)
-        m_observer.believed({*known, m_targets.belief(*known)});
+    if (known && m_observer.stateChanged)
+        m_observer.stateChanged({*known, m_targets.state(*known)});
 }
 
 void DirectRouter::decided(SegmentCause cause, const Segment &segment, const DirectTarget *target,
@@ -157,10 +157,10 @@
                 unanswered(flow, *before, now);
             // A second target that answers too would confuse the caller. Only one that is known to
             // be silent or leaving is given up.
-            const TargetBelief belief = m_targets.belief(*before);
+            const DirectTargetState state = m_targets.state(*before);
             const bool moves = m_settings.mechanisms.has(Mechanism::MovedOpenings)
-                               || belief == TargetBelief::Evacuated;
-            if (belief == TargetBelief::Trusted || !moves)
+                               || state == DirectTargetState::Evacuated;
+            if (state == DirectTargetState::Healthy || !moves)
                 return deliver(*before, segment, service, SegmentCause::OfferedAgain);
             except = flow.target;
         }
@@ -248,13 +248,13 @@
                            flow.repeats > 0 && segment.length > 0 ? SegmentCause::Repeated
                                                                   : SegmentCause::Forwarded);
         }
-        if (DirectTarget *startedAgain = m_targets.find(flow.target)) {
+        if (DirectTarget *restarted = m_targets.find(flow.target)) {
             // The flow went with the target's last life. The new one tells the caller so itself;
             // the flow is no load there, and what passes on it no sign of how the target does.
             forgetHeld(known->first, flow);
             flow.state = FlowState::Closing;
             flow.seenAt = now;
-            return deliver(*startedAgain, segment, flow.service, SegmentCause::Forwarded);
+            return deliver(*restarted, segment, flow.service, SegmentCause::Forwarded);
         }
         release(known->first, flow);
         m_flows.erase(known);
@@ -357,8 +357,8 @@
 void DirectRouter::heard(Flow &flow, DirectTarget &target, TimePoint now)
 {
     flow.repeats = 0;
-    if (m_targets.heard(target, now) && m_observer.believed)
-        m_observer.believed({target, m_targets.belief(target)});
+    if (m_targets.heard(target, now) && m_observer.stateChanged)
+        m_observer.stateChanged({target, m_targets.state(target)});
 }
 
 void DirectRouter::unanswered(Flow &flow, DirectTarget &target, TimePoint now)
@@ -368,8 +368,8 @@
         ++flow.repeats;
     if (flow.repeats > 1)
         return;
-    if (m_targets.unanswered(target, now) && m_observer.believed)
-        m_observer.believed({target, m_targets.belief(target)});
+    if (m_targets.unanswered(target, now) && m_observer.stateChanged)
+        m_observer.stateChanged({target, m_targets.state(target)});
     doubt(target);
 }
 
@@ -395,7 +395,7 @@
     endRequest(flow, *target);
 }
 
-void DirectRouter::expire(TimePoint now, const StoreWord &store)
+void DirectRouter::expire(TimePoint now, const StoreStatus &store)
 {
     const Duration idle
         = m_routes->idleTimeout > Duration{0} ? m_routes->idleTimeout : m_settings.idleTimeout;
@@ -417,8 +417,8 @@
     }
     probeSilent(now);
     m_targets.expire(now, store, [this](const DirectTarget &target) {
-        if (m_observer.believed)
-            m_observer.believed({target, TargetBelief::Gone});
+        if (m_observer.stateChanged)
+            m_observer.stateChanged({target, DirectTargetState::Gone});
     });
     m_gate.keepOnly([this](TargetId target) { return m_targets.find(target) != nullptr; });
 }
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -82,11 +82,11 @@
 };
 
 /// \brief A change of what is believed of a target.
-struct BeliefChange
+struct TargetStateChange
 {
     const DirectTarget &target;
-    TargetBelief belief = TargetBelief::Trusted;
-    bool startedAgain = false; ///< Under its id: what was known of it is forgotten.
+    DirectTargetState state = DirectTargetState::Healthy;
+    bool restarted = false; ///< Under its id: what was known of it is forgotten.
 };
 
 /// \brief Times that the daemon measured at flows, by service.
@@ -121,7 +121,7 @@
 struct DirectObserver
 {
     std::function<void(const SegmentDecision &)> decided;
-    std::function<void(const BeliefChange &)> believed;
+    std::function<void(const TargetStateChange &)> stateChanged;
     std::function<void(const SaturationChange &)> saturated;
     std::function<void(const FlowMeasured &)> measured;
 };
@@ -177,7 +177,7 @@
     void probed(const ProbeRequest &probe, ProbeOutcome outcome, TimePoint now);
 
     /// \brief Forgets idle flows and, by the store's word, departed targets; about once a second.
-    void expire(TimePoint now, const StoreWord &store);
+    void expire(TimePoint now, const StoreStatus &store);
 
     [[nodiscard]] std::size_t flows() const noexcept { return m_flows.size(); }
     [[nodiscard]] const DirectTargets &targets() const noexcept { return m_targets; }
--- a/src/core/direct/direct_router_probes.cpp
+++ b/src/core/direct/direct_router_probes.cpp
@@ -48,8 +48,8 @@
         return;
     }
     const bool isBack = outcome == ProbeOutcome::Alive && m_targets.probesAgree(*target);
-    if (m_targets.probed(*target, outcome, now) && m_observer.believed)
-        m_observer.believed({*target, m_targets.belief(*target)});
+    if (m_targets.probed(*target, outcome, now) && m_observer.stateChanged)
+        m_observer.stateChanged({*target, m_targets.state(*target)});
     if (isBack)
         m_targets.tryAgain(target->entry.domain, now);
     if (outcome == ProbeOutcome::Alive)
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -39,8 +39,8 @@
         m_services[entry.service].push_back(entry.id);
     }
     const auto before = target.entry.startedAt;
-    const bool startedAgain = before && entry.startedAt && before != entry.startedAt;
-    if (startedAgain) {
+    const bool restarted = before && entry.startedAt && before != entry.startedAt;
+    if (restarted) {
         const std::uint32_t incarnation = target.incarnation + 1;
         target = {};
         target.incarnation = incarnation;
@@ -52,7 +52,7 @@
     target.evacuated = m_evacuated.contains(entry.domain);
     target.lapsedAt.reset();
     target.goneAt.reset();
-    return startedAgain;
+    return restarted;
 }
 
 bool DirectTargets::setEvacuated(const std::string &domain, bool evacuated, TimePoint now)
@@ -99,7 +99,7 @@
 
 // Nobody can register while the store is away, also where it was back for a moment: taken for gone
 // then, a living target loses its open flows.
-bool DirectTargets::stayedAway(const DirectTarget &target, const StoreWord &store) const noexcept
+bool DirectTargets::stayedAway(const DirectTarget &target, const StoreStatus &store) const noexcept
 {
     if (!target.lapsedAt || !store.confirmedAt)
         return false;
@@ -107,7 +107,7 @@
     return *store.confirmedAt - since >= m_settings.lapsedFor;
 }
 
-void DirectTargets::expire(TimePoint now, const StoreWord &store,
+void DirectTargets::expire(TimePoint now, const StoreStatus &store,
                            const std::function<void(const DirectTarget &)> &ended)
 {
     m_cold.expire(now);
@@ -146,19 +146,19 @@
     return target ? find(*target) : nullptr;
 }
 
-TargetBelief DirectTargets::belief(const DirectTarget &target) const noexcept
+DirectTargetState DirectTargets::state(const DirectTarget &target) const noexcept
 {
     if (target.goneAt)
-        return TargetBelief::Gone;
+        return DirectTargetState::Gone;
     if (target.refused)
-        return TargetBelief::Refused;
+        return DirectTargetState::Refused;
     if (target.entry.draining)
-        return TargetBelief::Draining;
+        return DirectTargetState::Draining;
     if (target.evacuated)
-        return TargetBelief::Evacuated;
+        return DirectTargetState::Evacuated;
     if (isSuspect(target))
-        return TargetBelief::Suspect;
-    return target.lapsedAt ? TargetBelief::Lapsed : TargetBelief::Trusted;
+        return DirectTargetState::Suspect;
+    return target.lapsedAt ? DirectTargetState::Lapsed : DirectTargetState::Healthy;
 }
 
 bool DirectTargets::isSuspect(const DirectTarget &target) const noexcept
@@ -202,12 +202,12 @@
 
 bool DirectTargets::takesFlows(const DirectTarget &target, TimePoint now) const noexcept
 {
-    const TargetBelief belief = this->belief(target);
-    if (belief != TargetBelief::Trusted && belief != TargetBelief::Suspect)
+    const DirectTargetState state = this->state(target);
+    if (state != DirectTargetState::Healthy && state != DirectTargetState::Suspect)
         return false;
     if (!m_labels.labelOf(target.entry.id))
         return false;
-    if (belief == TargetBelief::Trusted)
+    if (state == DirectTargetState::Healthy)
         return !target.doubted;
     // Probes find out whether it is back; no caller has to.
     if (target.probesFailed > 0)
@@ -300,13 +300,13 @@
         if (id == except || !admits(target, now))
             continue;
         Candidates &candidates = target.local || !has(Mechanism::OwnDomainFirst) ? m_near : m_far;
-        const TargetBelief belief = this->belief(target);
+        const DirectTargetState state = this->state(target);
         if (takesFlows(target, now))
             candidates.known.push_back(&target);
-        else if (belief == TargetBelief::Lapsed && target.unanswered == 0)
+        else if (state == DirectTargetState::Lapsed && target.unanswered == 0)
             candidates.lapsed.push_back(&target);
-        const bool last = belief == TargetBelief::Suspect || belief == TargetBelief::Lapsed
-                          || (belief == TargetBelief::Trusted && target.doubted);
+        const bool last = state == DirectTargetState::Suspect || state == DirectTargetState::Lapsed
+                          || (state == DirectTargetState::Healthy && target.doubted);
         if (last)
             m_last.push_back(&target);
     }
@@ -324,7 +324,7 @@
     // When nobody seems to answer, what this daemon hears is the likelier fault.
     if (!best)
         best = least(m_last, now, random);
-    if (best && belief(*best) == TargetBelief::Suspect)
+    if (best && state(*best) == DirectTargetState::Suspect)
         best->triedAt = now;
     if (best && coldLimit(*best, now))
         m_cold.placed(best->entry.id, now);
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -20,8 +20,8 @@
 namespace baobabtrail {
 
 /// \brief Why a target is thought of as it is.
-enum class TargetBelief {
-    Trusted,
+enum class DirectTargetState {
+    Healthy,
     Suspect,   ///< Flows got no answer from it, or connections failed; no sign of life since.
     Draining,  ///< Leaves; takes no new flow.
     Evacuated, ///< The operator wants its failure domain empty; takes no new flow.
@@ -60,7 +60,7 @@
 };
 
 /// \brief What the store last said of all targets, and whether it could be told of them.
-struct StoreWord
+struct StoreStatus
 {
     std::optional<TimePoint> confirmedAt; ///< Nothing where it can't be vouched for.
     std::optional<TimePoint> returnedAt;  ///< When the store came back from being away, last.
@@ -137,7 +137,7 @@
     [[nodiscard]] std::uint64_t openFlowsIn(const std::string &domain) const;
     /// \brief Forgets targets that are gone for longer than a flow lives, and ends lapses.
     /// \param ended Called for each target whose lapse has ended.
-    void expire(TimePoint now, const StoreWord &store,
+    void expire(TimePoint now, const StoreStatus &store,
                 const std::function<void(const DirectTarget &)> &ended);
 
     [[nodiscard]] DirectTarget *find(TargetId target) noexcept;
@@ -159,7 +159,7 @@
     [[nodiscard]] DirectTarget *choose(ServiceId service, TargetId except, TimePoint now,
                                        Random &random);
 
-    [[nodiscard]] TargetBelief belief(const DirectTarget &target) const noexcept;
+    [[nodiscard]] DirectTargetState state(const DirectTarget &target) const noexcept;
     /// \return Whether it is suspect, also where it leaves for another cause besides.
     [[nodiscard]] bool isSuspect(const DirectTarget &target) const noexcept;
 
@@ -195,7 +195,7 @@
                                              TimePoint now) const noexcept;
     /// \return Whether the target could have registered again, and has not.
     [[nodiscard]] bool stayedAway(const DirectTarget &target,
-                                  const StoreWord &store) const noexcept;
+                                  const StoreStatus &store) const noexcept;
     /// \brief The target may have started anew, unseen.
     void mayBeCold(DirectTarget &target, TimePoint now) noexcept;
     /// \brief One flow finds out whether the target is back.
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -160,8 +160,8 @@
         m_metrics.decided(decision, m_node->router().routes());
         m_log.write(decision, *m_node, monotonicNow());
     };
-    ports.observer.believed
-        = [this](const BeliefChange &change) { m_log.write(change, *m_node, monotonicNow()); };
+    ports.observer.stateChanged
+        = [this](const TargetStateChange &change) { m_log.write(change, *m_node, monotonicNow()); };
     ports.observer.saturated
         = [this](const SaturationChange &change) { m_log.write(change, *m_node, monotonicNow()); };
     ports.observer.measured = [this](const FlowMeasured &measured) {
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -285,17 +285,17 @@
     });
 }
 
-void DirectLog::write(const BeliefChange &change, const DirectNode &node, TimePoint now)
+void DirectLog::write(const TargetStateChange &change, const DirectNode &node, TimePoint now)
 {
-    const std::string_view kind = nameOf(change.belief);
+    const std::string_view kind = nameOf(change.state);
     admit(Part::Targets, kind, now, [&] {
         LogEvent event{Severity::Info, Part::Targets, kind};
         addTarget(event, change.target, now);
-        if (change.startedAgain)
+        if (change.restarted)
             event.field("started_again", true);
         addView(event, node);
         const bool missing
-            = change.belief == TargetBelief::Lapsed || change.belief == TargetBelief::Gone;
+            = change.state == DirectTargetState::Lapsed || change.state == DirectTargetState::Gone;
         if (const auto since = node.sinceStoreReturn(); since && missing)
             event.field("store_back_ms_ago", *since);
         return event;
--- a/src/daemon/direct/direct_log.h
+++ b/src/daemon/direct/direct_log.h
@@ -36,7 +36,7 @@
     /// \brief Writes times that are unusual, and how long requests were held; all times are in the
     /// histograms.
     void write(const FlowMeasured &measured, const DirectNode &node, TimePoint now);
-    void write(const BeliefChange &change, const DirectNode &node, TimePoint now);
+    void write(const TargetStateChange &change, const DirectNode &node, TimePoint now);
     void write(const SaturationChange &change, const DirectNode &node, TimePoint now);
     void write(const NodeNotice &notice, TimePoint now);
 
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -91,7 +91,7 @@
              number(node.router().flows()));
     CounterArray<TargetBeliefNames.size()> beliefs{};
     for (const auto &[id, target] : node.router().targets().all())
-        ++beliefs[static_cast<std::size_t>(node.router().targets().belief(target))];
+        ++beliefs[static_cast<std::size_t>(node.router().targets().state(target))];
     page.family("baobabtrail_targets", "gauge", "Targets, by what is believed of them.");
     for (std::size_t index = 0; index < beliefs.size(); ++index)
         page.sample({{"belief", TargetBeliefNames[index]}}, number(beliefs[index]));
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -17,7 +17,7 @@
     "forwarded",     "placed",     "offered_again", "repeated",      "moved",
     "no_route",      "stale_view", "no_target",     "route_removed", "target_gone",
     "unknown_label", "held",       "absorbed",      "given_up"};
-/// Names of TargetBelief.
+/// Names of DirectTargetState.
 inline constexpr std::array<std::string_view, 7> TargetBeliefNames{
     "trusted", "suspect", "draining", "evacuated", "lapsed", "gone", "refused"};
 /// Names of FlowTime.
@@ -39,9 +39,9 @@
 {
     return SegmentCauseNames[static_cast<std::size_t>(cause)];
 }
-[[nodiscard]] constexpr std::string_view nameOf(TargetBelief belief) noexcept
+[[nodiscard]] constexpr std::string_view nameOf(DirectTargetState state) noexcept
 {
-    return TargetBeliefNames[static_cast<std::size_t>(belief)];
+    return TargetBeliefNames[static_cast<std::size_t>(state)];
 }
 
 /// \brief Counters and histograms of a daemon whose targets answer directly.
--- a/src/daemon/direct/direct_tables.cpp
+++ b/src/daemon/direct/direct_tables.cpp
@@ -39,11 +39,11 @@
     return found == names.end() ? NotKnown : found->second;
 }
 
-[[nodiscard]] bool leaves(TargetBelief belief) noexcept
+[[nodiscard]] bool leaves(DirectTargetState state) noexcept
 {
-    return belief == TargetBelief::Draining || belief == TargetBelief::Evacuated
-           || belief == TargetBelief::Lapsed || belief == TargetBelief::Gone
-           || belief == TargetBelief::Refused;
+    return state == DirectTargetState::Draining || state == DirectTargetState::Evacuated
+           || state == DirectTargetState::Lapsed || state == DirectTargetState::Gone
+           || state == DirectTargetState::Refused;
 }
 
 /// \return Requests that a saturated target may have at once.
@@ -66,8 +66,8 @@
     const DirectNode &node = *backend.node;
     std::map<std::string, Row> sorted;
     for (const auto &[id, target] : node.router().targets().all()) {
-        const TargetBelief belief = node.router().targets().belief(target);
-        if (leavingOnly && !leaves(belief))
+        const DirectTargetState state = node.router().targets().state(target);
+        if (leavingOnly && !leaves(state))
             continue;
         const std::string service = serviceName(node, target.entry.service);
         const Duration answer{static_cast<Duration::rep>(target.answerMicros)};
@@ -75,7 +75,7 @@
             = {service,
                target.entry.name,
                target.entry.domain,
-               std::string{nameOf(belief)},
+               std::string{nameOf(state)},
                text(target.entry.slots),
                text(target.inFlight),
                text(target.opening),
@@ -105,7 +105,7 @@
     const DirectTargets &targets = backend.node->router().targets();
     for (const auto &[id, target] : targets.all()) {
         ++targetsOf[target.entry.service];
-        trustedOf[target.entry.service] += targets.belief(target) == TargetBelief::Trusted;
+        trustedOf[target.entry.service] += targets.state(target) == DirectTargetState::Healthy;
     }
     Result result;
     result.columns = {"service", "routes", "targets", "trusted"};
@@ -190,9 +190,9 @@
         domains[domain];
     for (const auto &[id, target] : targets.all()) {
         Counts &counts = domains[target.entry.domain];
-        const TargetBelief belief = targets.belief(target);
-        counts.targets += belief != TargetBelief::Gone;
-        counts.takesFlows += belief == TargetBelief::Trusted;
+        const DirectTargetState state = targets.state(target);
+        counts.targets += state != DirectTargetState::Gone;
+        counts.takesFlows += state == DirectTargetState::Healthy;
         counts.flows += target.openFlows;
     }
     Result result;
--- a/tests/direct/probe_test.cpp
+++ b/tests/direct/probe_test.cpp
@@ -34,9 +34,9 @@
         return probe([outcome](TargetId) { return outcome; });
     }
 
-    [[nodiscard]] TargetBelief belief(TargetId id)
+    [[nodiscard]] DirectTargetState state(TargetId id)
     {
-        return router().targets().belief(*router().targets().find(id));
+        return router().targets().state(*router().targets().find(id));
     }
 
     /// \brief Opens a flow whose target says nothing, and sends the first segment again.
@@ -57,7 +57,7 @@
     ProbedFleet fleet{2};
     const TargetId full = fleet.openInVain(1);
     cr_assert_eq(fleet.probe(ProbeOutcome::Refused), 2U);
-    cr_assert(fleet.belief(full) == TargetBelief::Suspect);
+    cr_assert(fleet.state(full) == DirectTargetState::Suspect);
     for (std::uint16_t caller = 10; caller < 40; ++caller)
         cr_assert(fleet.open(caller).target != full);
 }
@@ -68,7 +68,7 @@
     ProbedFleet fleet{2};
     const TargetId dark = fleet.openInVain(1);
     cr_assert_eq(fleet.probe(ProbeOutcome::Silent), 2U);
-    cr_assert(fleet.belief(dark) == TargetBelief::Suspect);
+    cr_assert(fleet.state(dark) == DirectTargetState::Suspect);
     fleet.now += 400ms;
     cr_assert(fleet.open(1, 2).target != dark);
     for (std::uint16_t caller = 10; caller < 40; ++caller)
@@ -97,7 +97,7 @@
             tried.push_back(placed);
     }
     cr_assert_eq(tried.size(), 1U);
-    cr_assert(fleet.belief(dark) == TargetBelief::Suspect);
+    cr_assert(fleet.state(dark) == DirectTargetState::Suspect);
 }
 
 // Guards against an address that answers connections since another target has taken it: flows to
@@ -115,7 +115,7 @@
     while (placed.target != dark)
         placed = fleet.open(++caller);
     (void)fleet.route(DirectFleet::data(caller, placed.label, 0, 0, 1));
-    cr_assert(fleet.belief(dark) == TargetBelief::Trusted);
+    cr_assert(fleet.state(dark) == DirectTargetState::Healthy);
 }
 
 // Guards against a failure domain that goes dark, and whose targets are found out one by one.
@@ -134,10 +134,10 @@
         (void)fleet.open(caller, 1);
     (void)fleet.probe(dark);
     for (std::uint64_t id = 1; id <= count; ++id) {
-        const bool suspect = fleet.belief(TargetId{id}) == TargetBelief::Suspect;
+        const bool suspect = fleet.state(TargetId{id}) == DirectTargetState::Suspect;
         cr_assert_eq(suspect, id <= count / 2, "target %lu", id);
     }
-    cr_assert(fleet.belief(TargetId{count + 1}) == TargetBelief::Trusted);
+    cr_assert(fleet.state(TargetId{count + 1}) == DirectTargetState::Healthy);
 }
 
 // Guards against callers on open flows of a dark target that wait until their time is up.
@@ -183,7 +183,7 @@
         [&probes](TargetId) { return probes++ == 0 ? ProbeOutcome::Silent : ProbeOutcome::Alive; });
     fleet.now += 400ms;
     cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
-    cr_assert(fleet.belief(placed.target) == TargetBelief::Trusted);
+    cr_assert(fleet.state(placed.target) == DirectTargetState::Healthy);
 }
 
 // Guards against a domain of a thousand targets whose probes take half a minute: what callers wait
@@ -204,7 +204,7 @@
         first = first || probe.target == last;
         fleet.router().probed(probe, ProbeOutcome::Silent, fleet.now);
     }
-    cr_assert(first || fleet.belief(last) == TargetBelief::Suspect);
+    cr_assert(first || fleet.state(last) == DirectTargetState::Suspect);
     fleet.now += 3s;
     fleet.expire();
     (void)fleet.probe(ProbeOutcome::Alive);
@@ -231,7 +231,7 @@
     const DeliverSegment kept = fleet.establish(1);
     (void)fleet.openInVain(2);
     (void)fleet.probe(ProbeOutcome::Silent);
-    cr_assert(fleet.belief(kept.target) == TargetBelief::Suspect);
+    cr_assert(fleet.state(kept.target) == DirectTargetState::Suspect);
     (void)fleet.route(DirectFleet::data(1, kept.label, 0, 0, 50));
-    cr_assert(fleet.belief(kept.target) == TargetBelief::Trusted);
+    cr_assert(fleet.state(kept.target) == DirectTargetState::Healthy);
 }
--- a/tests/direct/router_faults_test.cpp
+++ b/tests/direct/router_faults_test.cpp
@@ -41,7 +41,7 @@
     fleet.now += 200ms;
     for (const std::uint16_t waiting : atDead)
         (void)fleet.open(waiting, 1);
-    cr_assert(fleet.beliefs.back() == TargetBelief::Suspect);
+    cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
     fleet.now += 400ms;
     cr_assert(fleet.open(atDead.front(), 2).target == TargetId{2});
     for (std::uint16_t next = 100; next < 130; ++next)
@@ -59,7 +59,7 @@
     fleet.now += 200ms;
     fleet.add(2);
     (void)fleet.open(1, 1);
-    cr_assert(fleet.beliefs.back() == TargetBelief::Suspect);
+    cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
     cr_assert(fleet.open(2).target == TargetId{2});
     fleet.now += settings.trialEvery;
     std::uint16_t caller = 10;
@@ -68,7 +68,7 @@
         trial = fleet.open(++caller);
     cr_assert(trial.target == TargetId{1});
     (void)fleet.route(DirectFleet::data(caller, trial.label, 0, 0, 1));
-    cr_assert(fleet.beliefs.back() == TargetBelief::Trusted);
+    cr_assert(fleet.beliefs.back() == DirectTargetState::Healthy);
 }
 
 // A target crashes; its registration goes a few seconds later. A caller with an open flow sends
@@ -170,7 +170,7 @@
     (void)fleet.open(2, 1);
     const DirectTarget &target = fleet.router().targets().all().at(TargetId{1});
     cr_assert(target.openFlows == 1 && target.inFlight == 1 && target.opening == 1);
-    cr_assert(fleet.router().targets().belief(target) == TargetBelief::Suspect);
+    cr_assert(fleet.router().targets().state(target) == DirectTargetState::Suspect);
 
     fleet.router().putTarget(entry, fleet.now); // Only a newer report of the same life.
     cr_assert(target.openFlows == 1 && target.inFlight == 1);
@@ -178,7 +178,7 @@
     entry.startedAt.emplace(5000ms);
     fleet.router().putTarget(entry, fleet.now);
     cr_assert(target.openFlows == 0 && target.inFlight == 0 && target.opening == 0);
-    cr_assert(fleet.router().targets().belief(target) == TargetBelief::Trusted);
+    cr_assert(fleet.router().targets().state(target) == DirectTargetState::Healthy);
 
     // The caller's packets still go there: the target itself tells the caller that its flow is
     // gone. Neither they nor the end of the old flows count.
--- a/tests/directory/lapse_test.cpp
+++ b/tests/directory/lapse_test.cpp
@@ -20,9 +20,9 @@
 {
     explicit LapseCluster(std::uint64_t seed)
         : cluster(8, 3, seed, [this](std::size_t index, DirectPorts &ports) {
-            ports.observer.believed = [this, index](const BeliefChange &change) {
+            ports.observer.stateChanged = [this, index](const TargetStateChange &change) {
                 if (change.target.entry.id == TargetId{Lapsing}
-                    && change.belief == TargetBelief::Gone)
+                    && change.state == DirectTargetState::Gone)
                     tookForGone.insert(index);
             };
         })
@@ -39,13 +39,13 @@
         cluster.store.erase(DirectCluster::targetKey(Lapsing));
     }
 
-    [[nodiscard]] std::size_t believing(TargetBelief belief)
+    [[nodiscard]] std::size_t believing(DirectTargetState state)
     {
         std::size_t daemons = 0;
         for (std::size_t index = 0; index < cluster.size(); ++index) {
             const DirectTargets &targets = cluster.node(index)->router().targets();
             const DirectTarget *target = targets.find(TargetId{Lapsing});
-            daemons += target && targets.belief(*target) == belief;
+            daemons += target && targets.state(*target) == state;
         }
         return daemons;
     }
@@ -90,7 +90,7 @@
     all.cluster.store.compact();
     all.cluster.store.down = false;
     all.cluster.time.run(2s);
-    cr_assert_eq(all.believing(TargetBelief::Lapsed), all.cluster.size());
+    cr_assert_eq(all.believing(DirectTargetState::Lapsed), all.cluster.size());
     addTarget(all.cluster, Lapsing);
     all.cluster.time.run(3s);
     cr_assert(all.tookForGone.empty());
@@ -106,6 +106,6 @@
         all.lapse();
         all.cluster.store.down = false;
         all.cluster.time.run(6s);
-        cr_assert_eq(all.believing(TargetBelief::Gone), all.cluster.size());
+        cr_assert_eq(all.believing(DirectTargetState::Gone), all.cluster.size());
     }
 }
--- a/tests/lapse-known/random_test.cpp
+++ b/tests/lapse-known/random_test.cpp
@@ -65,9 +65,10 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         std::size_t tookForGone = 0; // Daemons, however often.
         DirectCluster cluster{9, 3, seed, [&](std::size_t, DirectPorts &ports) {
-                                  ports.observer.believed = [&](const BeliefChange &change) {
-                                      tookForGone += change.belief == TargetBelief::Gone;
-                                  };
+                                  ports.observer.stateChanged
+                                      = [&](const TargetStateChange &change) {
+                                            tookForGone += change.state == DirectTargetState::Gone;
+                                        };
                               }};
         Random random{seed};
         const auto draw = [&](int most) {
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -106,7 +106,7 @@
         const auto found = all.find(TargetId{target});
         if (found == all.end())
             return false;
-        return node(index)->router().targets().belief(found->second) == TargetBelief::Trusted;
+        return node(index)->router().targets().state(found->second) == DirectTargetState::Healthy;
     }
 
     [[nodiscard]] static std::string targetKey(std::uint64_t id)
--- a/tests/support/direct_fleet.h
+++ b/tests/support/direct_fleet.h
@@ -100,8 +100,8 @@
     [[nodiscard]] DirectRouter &router() noexcept { return m_router; }
 
     TimePoint now{1h};
-    std::vector<SegmentCause> causes;  ///< Of every decision, in order.
-    std::vector<TargetBelief> beliefs; ///< Every change of belief, in order.
+    std::vector<SegmentCause> causes;       ///< Of every decision, in order.
+    std::vector<DirectTargetState> beliefs; ///< Every change of belief, in order.
 
 private:
     static constexpr std::uint32_t FirstSequence = 0xFFFFFF00; ///< Wraps round soon.
@@ -111,8 +111,8 @@
         DirectObserver observer;
         observer.decided
             = [this](const SegmentDecision &decision) { causes.push_back(decision.cause); };
-        observer.believed
-            = [this](const BeliefChange &change) { beliefs.push_back(change.belief); };
+        observer.stateChanged
+            = [this](const TargetStateChange &change) { beliefs.push_back(change.state); };
         return observer;
     }
 
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -68,7 +68,7 @@
         ports.observer.decided = [this, index, now](const SegmentDecision &decision) {
             m_logs[index]->write(decision, *cluster.node(index), now());
         };
-        ports.observer.believed = [this, index, now](const BeliefChange &change) {
+        ports.observer.stateChanged = [this, index, now](const TargetStateChange &change) {
             m_logs[index]->write(change, *cluster.node(index), now());
         };
         ports.reader.routes = [this, read = ports.reader.routes](const StoredObject &object) {
