--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -236,7 +236,7 @@
             if (holds(flow, *target, segment, now))
                 return hold(flow, *target, segment);
             sent(flow, *target, segment, now);
-            if ((target->goneAt || m_targets.isSilent(*target)) && flow.repeats > 0) {
+            if ((target->goneAt || m_targets.isUnreachable(*target)) && flow.repeats > 0) {
                 // The target has left, or is dark, and acknowledges nothing: the caller would wait
                 // until its time is up. The end of the flow lets it ask again at once.
                 decided(SegmentCause::TargetGone, segment, target, flow.service);
@@ -370,7 +370,7 @@
         return;
     if (m_targets.unanswered(target, now) && m_observer.stateChanged)
         m_observer.stateChanged({target, m_targets.state(target)});
-    doubt(target);
+    requestProbe(target);
 }
 
 void DirectRouter::endRequest(Flow &flow, DirectTarget &target)
@@ -415,7 +415,7 @@
         release(it->first, flow);
         m_flows.erase(it++);
     }
-    probeSilent(now);
+    reprobeFailed(now);
     m_targets.expire(now, store, [this](const DirectTarget &target) {
         if (m_observer.stateChanged)
             m_observer.stateChanged({target, DirectTargetState::Gone});
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/direct/direct_targets.h"
+#include "core/direct/probe_scheduler.h"
 #include "core/direct/segment.h"
-#include "core/direct/target_probes.h"
 #include "core/directory/directory.h"
 #include "core/overload/request_gate.h"
 #include "core/random.h"
@@ -241,10 +241,10 @@
     void heard(Flow &flow, DirectTarget &target, TimePoint now);
     void unanswered(Flow &flow, DirectTarget &target, TimePoint now);
     /// \brief A target has left a flow without a sign.
-    void doubt(DirectTarget &target);
+    void requestProbe(DirectTarget &target);
     /// \brief Tries all of a failure domain that were not heard lately.
     void sweep(const std::string &domain, TimePoint now);
-    void probeSilent(TimePoint now);
+    void reprobeFailed(TimePoint now);
     void release(const FlowKey &key, Flow &flow);
     [[nodiscard]] DirectTarget *targetOf(const Flow &flow);
     void endRequest(Flow &flow, DirectTarget &target);
@@ -256,7 +256,7 @@
     DirectObserver m_observer;
     DirectTargets m_targets;
     RequestGate m_gate;
-    TargetProbes m_probes;
+    ProbeScheduler m_probes;
     bool m_probing = false;
     std::vector<HeldEnd> m_heldEnds;
     RouteTablePtr m_routes = std::make_shared<const RouteTable>();
--- a/src/core/direct/direct_router_probes.cpp
+++ b/src/core/direct/direct_router_probes.cpp
@@ -12,60 +12,60 @@
 namespace {
 
 /// Between two probes of a target that is silent.
-constexpr Duration ProbeEvery = 2s;
+constexpr Duration ReprobePeriod = 2s;
 /// A target that was heard within this time needs no probe.
-constexpr Duration HeardLately = 500ms;
+constexpr Duration HeardRecently = 500ms;
 /// Targets that are tried in one sweep: a domain may have a thousand, and what is waiting ahead
 /// keeps a small processor busy and a target that is back unused.
-constexpr std::size_t MostSwept = 32;
+constexpr std::size_t MaxProbesPerSweep = 32;
 /// Silent targets that are tried again in one second.
-constexpr std::size_t MostTriedAgain = 8;
+constexpr std::size_t MaxReprobes = 8;
 
 } // namespace
 
 std::vector<ProbeRequest> DirectRouter::takeProbes()
 {
     std::vector<ProbeRequest> out;
-    for (const TargetId id : m_probes.begin()) {
+    for (const TargetId id : m_probes.startNext()) {
         const DirectTarget *target = m_targets.find(id);
         if (target)
             out.push_back({id, target->incarnation, target->entry.address});
         else
-            m_probes.ended(id);
+            m_probes.finished(id);
     }
     return out;
 }
 
 void DirectRouter::probed(const ProbeRequest &probe, ProbeOutcome outcome, TimePoint now)
 {
-    m_probes.ended(probe.target);
+    m_probes.finished(probe.target);
     DirectTarget *target = m_targets.find(probe.target);
     if (!target || target->incarnation != probe.incarnation)
         return;
-    if (outcome == ProbeOutcome::Unsure) {
-        if (target->doubted)
-            m_probes.wantFirst(probe.target);
+    if (outcome == ProbeOutcome::Inconclusive) {
+        if (target->probePending)
+            m_probes.requestFirst(probe.target);
         return;
     }
-    const bool isBack = outcome == ProbeOutcome::Alive && m_targets.probesAgree(*target);
+    const bool isBack = outcome == ProbeOutcome::Alive && m_targets.probeFailureConfirmed(*target);
     if (m_targets.probed(*target, outcome, now) && m_observer.stateChanged)
         m_observer.stateChanged({*target, m_targets.state(*target)});
     if (isBack)
-        m_targets.tryAgain(target->entry.domain, now);
+        m_targets.allowTrialFlows(target->entry.domain, now);
     if (outcome == ProbeOutcome::Alive)
         return;
-    if (!m_targets.probesAgree(*target))
-        m_probes.wantFirst(probe.target);
-    if (target->probesFailed == 1 && m_probes.sweeps(target->entry.domain, now))
+    if (!m_targets.probeFailureConfirmed(*target))
+        m_probes.requestFirst(probe.target);
+    if (target->probesFailed == 1 && m_probes.shouldSweep(target->entry.domain, now))
         sweep(target->entry.domain, now);
 }
 
-void DirectRouter::doubt(DirectTarget &target)
+void DirectRouter::requestProbe(DirectTarget &target)
 {
     if (!m_probing || target.goneAt || !m_settings.mechanisms.has(Mechanism::Probes))
         return;
-    target.doubted = true;
-    m_probes.wantFirst(target.entry.id);
+    target.probePending = true;
+    m_probes.requestFirst(target.entry.id);
 }
 
 // Where several targets of a domain have gone, the others may have too: their callers need not find
@@ -76,25 +76,25 @@
     for (const auto &[id, target] : m_targets.all()) {
         if (target.entry.domain != domain || target.goneAt || target.probesFailed > 0)
             continue;
-        if (target.heardAt && now - *target.heardAt < HeardLately)
+        if (target.heardAt && now - *target.heardAt < HeardRecently)
             continue;
-        m_probes.want(id);
-        if (++swept == MostSwept)
+        m_probes.request(id);
+        if (++swept == MaxProbesPerSweep)
             return;
     }
 }
 
-void DirectRouter::probeSilent(TimePoint now)
+void DirectRouter::reprobeFailed(TimePoint now)
 {
     std::vector<std::pair<TimePoint, TargetId>> due;
     for (const auto &[id, target] : m_targets.all()) {
-        if (target.probesFailed > 0 && !target.goneAt && now - target.probedAt >= ProbeEvery)
+        if (target.probesFailed > 0 && !target.goneAt && now - target.probedAt >= ReprobePeriod)
             due.emplace_back(target.probedAt, id);
     }
-    const std::size_t count = std::min(due.size(), MostTriedAgain);
+    const std::size_t count = std::min(due.size(), MaxReprobes);
     std::partial_sort(due.begin(), due.begin() + static_cast<std::ptrdiff_t>(count), due.end());
     for (std::size_t index = 0; index < count; ++index)
-        m_probes.want(due[index].second);
+        m_probes.request(due[index].second);
 }
 
 } // namespace baobabtrail
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -19,7 +19,7 @@
 constexpr double MostSlowness = 8.0;
 constexpr double LeastSlowness = 0.8;
 /// Probes that must fail in a row before they are believed: a single one may be a lost packet.
-constexpr std::uint32_t EnoughProbes = 2;
+constexpr std::uint32_t FailedProbesToConfirm = 2;
 
 [[nodiscard]] double secondsOf(Duration duration) noexcept
 {
@@ -168,14 +168,14 @@
     return target.unanswered >= m_settings.suspectAfter || target.probesFailed > 0;
 }
 
-bool DirectTargets::isSilent(const DirectTarget &target) const noexcept
+bool DirectTargets::isUnreachable(const DirectTarget &target) const noexcept
 {
-    return target.probesSilent >= EnoughProbes;
+    return target.probesTimedOut >= FailedProbesToConfirm;
 }
 
-bool DirectTargets::probesAgree(const DirectTarget &target) const noexcept
+bool DirectTargets::probeFailureConfirmed(const DirectTarget &target) const noexcept
 {
-    return target.probesFailed >= EnoughProbes;
+    return target.probesFailed >= FailedProbesToConfirm;
 }
 
 const ColdLimit *DirectTargets::coldLimit(const DirectTarget &target, TimePoint now) const noexcept
@@ -208,11 +208,11 @@
     if (!m_labels.labelOf(target.entry.id))
         return false;
     if (state == DirectTargetState::Healthy)
-        return !target.doubted;
+        return !target.probePending;
     // Probes find out whether it is back; no caller has to.
     if (target.probesFailed > 0)
         return false;
-    const TimePoint tried = target.triedAt.value_or(target.unansweredSince);
+    const TimePoint tried = target.trialAt.value_or(target.unansweredSince);
     return now - tried >= m_settings.trialEvery;
 }
 
@@ -306,7 +306,7 @@
         else if (state == DirectTargetState::Lapsed && target.unanswered == 0)
             candidates.lapsed.push_back(&target);
         const bool last = state == DirectTargetState::Suspect || state == DirectTargetState::Lapsed
-                          || (state == DirectTargetState::Healthy && target.doubted);
+                          || (state == DirectTargetState::Healthy && target.probePending);
         if (last)
             m_last.push_back(&target);
     }
@@ -325,7 +325,7 @@
     if (!best)
         best = least(m_last, now, random);
     if (best && state(*best) == DirectTargetState::Suspect)
-        best->triedAt = now;
+        best->trialAt = now;
     if (best && coldLimit(*best, now))
         m_cold.placed(best->entry.id, now);
     return best;
@@ -336,46 +336,46 @@
     const bool suspect = isSuspect(target);
     target.heardAt = now;
     target.unanswered = 0;
-    target.triedAt.reset();
-    target.doubted = false;
+    target.trialAt.reset();
+    target.probePending = false;
     target.probesFailed = 0;
-    target.probesSilent = 0;
+    target.probesTimedOut = 0;
     return suspect;
 }
 
 bool DirectTargets::probed(DirectTarget &target, ProbeOutcome outcome, TimePoint now) noexcept
 {
     const bool suspect = isSuspect(target);
-    target.doubted = false;
+    target.probePending = false;
     target.probedAt = now;
     if (outcome != ProbeOutcome::Alive) {
         ++target.probesFailed;
-        target.probesSilent = outcome == ProbeOutcome::Silent ? target.probesSilent + 1 : 0;
+        target.probesTimedOut = outcome == ProbeOutcome::TimedOut ? target.probesTimedOut + 1 : 0;
         return suspect != isSuspect(target);
     }
     // A machine answers there again, but it may be another target's by now: one flow finds out.
     // After a single failure, a packet of the probe was lost.
-    if (probesAgree(target))
-        tryByFlow(target, now);
+    if (probeFailureConfirmed(target))
+        allowTrialFlow(target, now);
     target.probesFailed = 0;
-    target.probesSilent = 0;
+    target.probesTimedOut = 0;
     return suspect != isSuspect(target);
 }
 
-void DirectTargets::tryByFlow(DirectTarget &target, TimePoint now) noexcept
+void DirectTargets::allowTrialFlow(DirectTarget &target, TimePoint now) noexcept
 {
     target.probesFailed = 0;
-    target.probesSilent = 0;
+    target.probesTimedOut = 0;
     target.unanswered = std::max(target.unanswered, m_settings.suspectAfter);
-    target.triedAt = now - m_settings.trialEvery;
+    target.trialAt = now - m_settings.trialEvery;
     mayBeCold(target, now);
 }
 
-void DirectTargets::tryAgain(const std::string &domain, TimePoint now) noexcept
+void DirectTargets::allowTrialFlows(const std::string &domain, TimePoint now) noexcept
 {
     for (auto &[id, target] : m_targets) {
-        if (target.entry.domain == domain && probesAgree(target))
-            tryByFlow(target, now);
+        if (target.entry.domain == domain && probeFailureConfirmed(target))
+            allowTrialFlow(target, now);
     }
 }
 
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -3,7 +3,7 @@
 #include "core/direct/cold_targets.h"
 #include "core/direct/label_table.h"
 #include "core/direct/mechanisms.h"
-#include "core/direct/target_probes.h"
+#include "core/direct/probe_scheduler.h"
 #include "core/directory/directory.h"
 #include "core/overload/overload_settings.h"
 #include "core/random.h"
@@ -92,10 +92,10 @@
     std::optional<TimePoint> heardAt; ///< Last sign that it lives.
     std::uint32_t unanswered = 0;     ///< Flows that wait in vain since that sign.
     TimePoint unansweredSince{};
-    std::optional<TimePoint> triedAt; ///< Last flow that was offered while it was suspect.
-    bool doubted = false;             ///< Left a flow without a sign, and is being tried.
+    std::optional<TimePoint> trialAt; ///< Last flow that was offered while it was suspect.
+    bool probePending = false;        ///< Left a flow without a sign, and is being tried.
     std::uint32_t probesFailed = 0;   ///< In a row, since the last sign that it lives.
-    std::uint32_t probesSilent = 0;   ///< Of these, the last ones that got no answer at all.
+    std::uint32_t probesTimedOut = 0; ///< Of these, the last ones that got no answer at all.
     TimePoint probedAt{};             ///< End of the last probe.
     double answerMicros = 0;          ///< Moving mean of the time to the answer; 0 for none yet.
     TimePoint answeredAt{};
@@ -170,13 +170,13 @@
     bool probed(DirectTarget &target, ProbeOutcome outcome, TimePoint now) noexcept;
     /// \brief A silent target of the failure domain answers again: the others that are silent get
     /// one flow each to find out.
-    void tryAgain(const std::string &domain, TimePoint now) noexcept;
+    void allowTrialFlows(const std::string &domain, TimePoint now) noexcept;
     /// \return Whether enough probes in a row have failed to be believed.
-    [[nodiscard]] bool probesAgree(const DirectTarget &target) const noexcept;
+    [[nodiscard]] bool probeFailureConfirmed(const DirectTarget &target) const noexcept;
     /// \return Whether it is dark for now, so that its open flows may be ended: a caller that
     /// repeats itself is one ground, and probes that nobody answered are the other. One that
     /// refuses connections may be full, and serve the flows that it has.
-    [[nodiscard]] bool isSilent(const DirectTarget &target) const noexcept;
+    [[nodiscard]] bool isUnreachable(const DirectTarget &target) const noexcept;
     /// \return Whether this ended a suspicion.
     bool heard(DirectTarget &target, TimePoint now) noexcept;
     /// \brief The target answered a request. \param took From the last byte of the request.
@@ -199,7 +199,7 @@
     /// \brief The target may have started anew, unseen.
     void mayBeCold(DirectTarget &target, TimePoint now) noexcept;
     /// \brief One flow finds out whether the target is back.
-    void tryByFlow(DirectTarget &target, TimePoint now) noexcept;
+    void allowTrialFlow(DirectTarget &target, TimePoint now) noexcept;
     [[nodiscard]] bool admits(const DirectTarget &target, TimePoint now) const;
     [[nodiscard]] double cost(const DirectTarget &target, double usualMicros,
                               TimePoint now) const noexcept;
--- a/src/core/direct/target_probes.h
+++ b/src/core/direct/probe_scheduler.h
@@ -14,10 +14,10 @@
 
 /// \brief What a try to connect to a target has shown.
 enum class ProbeOutcome {
-    Alive,   ///< Its machine took the connection.
-    Refused, ///< Its machine answered, and did not take it: the target is gone, or full.
-    Silent,  ///< No answer in time.
-    Unsure,  ///< This process was late itself.
+    Alive,        ///< Its machine took the connection.
+    Refused,      ///< Its machine answered, and did not take it: the target is gone, or full.
+    TimedOut,     ///< No answer in time.
+    Inconclusive, ///< This process was late itself.
 };
 
 /// \brief Decides when a target is tried by a connection, so that no caller has to wait to find
@@ -25,21 +25,21 @@
 ///
 /// A daemon sees so few flows to each of many targets that it would take seconds to learn from
 /// them alone that a target, or a whole failure domain, has gone dark.
-class TargetProbes
+class ProbeScheduler
 {
 public:
     /// \brief Asks for a probe of a target that callers wait for, ahead of all others; does nothing
     /// where one is under way.
-    void wantFirst(TargetId target);
+    void requestFirst(TargetId target);
     /// \brief Asks for a probe; does nothing where one is waiting or under way.
-    void want(TargetId target);
+    void request(TargetId target);
     /// \return Those that are to begin now, each of them once.
-    [[nodiscard]] std::vector<TargetId> begin();
-    void ended(TargetId target);
+    [[nodiscard]] std::vector<TargetId> startNext();
+    void finished(TargetId target);
 
     /// \brief One more target of the failure domain has proved silent.
     /// \return Whether its others are to be tried too: several went at about the same time.
-    [[nodiscard]] bool sweeps(const std::string &domain, TimePoint now);
+    [[nodiscard]] bool shouldSweep(const std::string &domain, TimePoint now);
 
 private:
     struct Sweep
@@ -50,7 +50,7 @@
     };
 
     std::deque<TargetId> m_waiting;
-    std::set<TargetId> m_known; ///< Waiting or under way.
+    std::set<TargetId> m_pending; ///< Waiting or under way.
     std::size_t m_running = 0;
     std::map<std::string, Sweep> m_sweeps;
 };
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -228,9 +228,9 @@
         case Connected::Refused:
             return done(ProbeOutcome::Refused);
         case Connected::No:
-            return done(ProbeOutcome::Silent);
+            return done(ProbeOutcome::TimedOut);
         case Connected::Unsure:
-            return done(ProbeOutcome::Unsure);
+            return done(ProbeOutcome::Inconclusive);
         }
     });
 }
--- a/tests/direct/probe_test.cpp
+++ b/tests/direct/probe_test.cpp
@@ -67,7 +67,7 @@
 {
     ProbedFleet fleet{2};
     const TargetId dark = fleet.openInVain(1);
-    cr_assert_eq(fleet.probe(ProbeOutcome::Silent), 2U);
+    cr_assert_eq(fleet.probe(ProbeOutcome::TimedOut), 2U);
     cr_assert(fleet.state(dark) == DirectTargetState::Suspect);
     fleet.now += 400ms;
     cr_assert(fleet.open(1, 2).target != dark);
@@ -80,11 +80,11 @@
 {
     ProbedFleet fleet{2};
     const TargetId dark = fleet.openInVain(1);
-    (void)fleet.probe(ProbeOutcome::Silent);
+    (void)fleet.probe(ProbeOutcome::TimedOut);
     for (std::uint16_t second = 0; second < 10; ++second) {
         fleet.now += 1s;
         fleet.expire();
-        cr_assert_leq(fleet.probe(ProbeOutcome::Silent), 1U);
+        cr_assert_leq(fleet.probe(ProbeOutcome::TimedOut), 1U);
         cr_assert(fleet.open(10 + second).target != dark);
     }
     fleet.now += 2s;
@@ -106,7 +106,7 @@
 {
     ProbedFleet fleet{2};
     const TargetId dark = fleet.openInVain(1);
-    (void)fleet.probe(ProbeOutcome::Silent);
+    (void)fleet.probe(ProbeOutcome::TimedOut);
     fleet.now += 3s;
     fleet.expire();
     (void)fleet.probe(ProbeOutcome::Alive);
@@ -125,7 +125,7 @@
     ProbedFleet fleet{count};
     fleet.add(count + 1, "alx-agami");
     const auto dark = [](TargetId id) {
-        return id.value() <= count / 2 ? ProbeOutcome::Silent : ProbeOutcome::Alive;
+        return id.value() <= count / 2 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
     };
     for (std::uint16_t caller = 0; caller < 12; ++caller)
         (void)fleet.open(caller);
@@ -149,7 +149,7 @@
     fleet.now += 200ms;
     const Segment again = DirectFleet::data(1, placed.label, 0, 100, 1);
     cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
-    (void)fleet.probe(ProbeOutcome::Silent);
+    (void)fleet.probe(ProbeOutcome::TimedOut);
     fleet.now += 400ms;
     cr_assert(std::holds_alternative<AbortFlow>(fleet.route(again)));
     cr_assert(fleet.causes.back() == SegmentCause::TargetGone);
@@ -160,7 +160,7 @@
 Test(probes, aFlowOfALivingTargetIsNeverEnded)
 {
     for (const ProbeOutcome outcome :
-         {ProbeOutcome::Alive, ProbeOutcome::Refused, ProbeOutcome::Unsure}) {
+         {ProbeOutcome::Alive, ProbeOutcome::Refused, ProbeOutcome::Inconclusive}) {
         ProbedFleet fleet{1};
         const DeliverSegment placed = fleet.establish(1);
         (void)fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1));
@@ -179,8 +179,9 @@
     fleet.now += 200ms;
     (void)fleet.route(again);
     int probes = 0; // The first fails by chance, the second finds the target.
-    (void)fleet.probe(
-        [&probes](TargetId) { return probes++ == 0 ? ProbeOutcome::Silent : ProbeOutcome::Alive; });
+    (void)fleet.probe([&probes](TargetId) {
+        return probes++ == 0 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
+    });
     fleet.now += 400ms;
     cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
     cr_assert(fleet.state(placed.target) == DirectTargetState::Healthy);
@@ -195,14 +196,14 @@
     for (std::uint16_t caller = 0; caller < 400; ++caller) {
         (void)fleet.openInVain(caller);
         for (const ProbeRequest &probe : fleet.router().takeProbes()) // 16 at once, and no more.
-            fleet.router().probed(probe, ProbeOutcome::Silent, fleet.now);
+            fleet.router().probed(probe, ProbeOutcome::TimedOut, fleet.now);
         fleet.expire();
     }
     const TargetId last = fleet.openInVain(500);
     bool first = false;
     for (const ProbeRequest &probe : fleet.router().takeProbes()) {
         first = first || probe.target == last;
-        fleet.router().probed(probe, ProbeOutcome::Silent, fleet.now);
+        fleet.router().probed(probe, ProbeOutcome::TimedOut, fleet.now);
     }
     cr_assert(first || fleet.state(last) == DirectTargetState::Suspect);
     fleet.now += 3s;
@@ -221,7 +222,7 @@
     ProbedFleet fleet{1};
     (void)fleet.open(1);
     (void)fleet.open(1, 1);
-    cr_assert_eq(fleet.probe(ProbeOutcome::Silent), 0U);
+    cr_assert_eq(fleet.probe(ProbeOutcome::TimedOut), 0U);
 }
 
 // Guards against a sign of life that does not end what probes said.
@@ -230,7 +231,7 @@
     ProbedFleet fleet{1};
     const DeliverSegment kept = fleet.establish(1);
     (void)fleet.openInVain(2);
-    (void)fleet.probe(ProbeOutcome::Silent);
+    (void)fleet.probe(ProbeOutcome::TimedOut);
     cr_assert(fleet.state(kept.target) == DirectTargetState::Suspect);
     (void)fleet.route(DirectFleet::data(1, kept.label, 0, 0, 50));
     cr_assert(fleet.state(kept.target) == DirectTargetState::Healthy);
