--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -112,7 +112,7 @@
                         {m_targets.copy.confirmedAt(), m_targets.copy.returnedAt()});
         startProbes();
         m_relay.expire();
-        endHeld();
+        finishHeld();
         expirePeriodically();
     });
 }
@@ -136,15 +136,15 @@
     const TimePoint now = m_ports.feed.now();
     SegmentVerdict verdict = m_router.route(segment, now);
     if (std::holds_alternative<HoldSegment>(verdict) && !m_held.push(segment, payload)) {
-        m_router.dontHold(segment.flow, now);
-        endHeld();
+        m_router.cancelHold(segment.flow, now);
+        finishHeld();
         verdict = m_router.route(segment, now);
     }
     startProbes();
-    endHeld();
+    finishHeld();
     if (!std::holds_alternative<HoldSegment>(verdict))
         return verdict;
-    serveHeldLater();
+    scheduleServeHeld();
     return std::nullopt;
 }
 
@@ -161,19 +161,20 @@
     }
 }
 
-void DirectNode::endHeld()
+void DirectNode::finishHeld()
 {
     // What goes on may make room for more.
-    for (auto ends = m_router.takeHeldEnds(); !ends.empty(); ends = m_router.takeHeldEnds()) {
-        for (const HeldEnd &end : ends)
-            endHeld(end);
+    for (auto ends = m_router.takeHeldOutcomes(); !ends.empty();
+         ends = m_router.takeHeldOutcomes()) {
+        for (const HeldRequestOutcome &end : ends)
+            finishHeld(end);
     }
 }
 
-void DirectNode::endHeld(const HeldEnd &end)
+void DirectNode::finishHeld(const HeldRequestOutcome &end)
 {
     for (const HeldSegments::Held &held : m_held.take(end.flow)) {
-        if (!end.goesOn)
+        if (!end.shouldForward)
             continue;
         const SegmentVerdict verdict = m_router.route(held.segment, m_ports.feed.now());
         m_ports.carry(held.segment, held.payload, verdict);
@@ -182,18 +183,18 @@
 
 // Most requests go on when an answer passes. This is for those that wait for nothing any more: the
 // target fell silent, or its answers come too late for them.
-void DirectNode::serveHeldLater()
+void DirectNode::scheduleServeHeld()
 {
-    if (std::exchange(m_servesHeld, true))
+    if (std::exchange(m_serveHeldScheduled, true))
         return;
     m_ports.feed.after(ServeHeldPeriod, [this, alive = std::weak_ptr{m_alive}] {
         if (alive.expired())
             return;
-        m_servesHeld = false;
+        m_serveHeldScheduled = false;
         m_router.serveHeld(m_ports.feed.now());
-        endHeld();
+        finishHeld();
         if (m_router.gate().held() > 0)
-            serveHeldLater();
+            scheduleServeHeld();
     });
 }
 
@@ -205,7 +206,7 @@
 void DirectNode::stopHolding()
 {
     m_router.stopHolding(m_ports.feed.now());
-    endHeld();
+    finishHeld();
 }
 
 void DirectNode::stoodStill(Duration gap)
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -206,10 +206,10 @@
 
     [[nodiscard]] std::optional<SegmentVerdict> route(const Segment &segment,
                                                       std::string_view payload);
-    void endHeld();
-    void endHeld(const HeldEnd &end);
+    void finishHeld();
+    void finishHeld(const HeldRequestOutcome &end);
     void startProbes();
-    void serveHeldLater();
+    void scheduleServeHeld();
     /// \brief Begins anew with the store, where this daemon is a root, and with its peers.
     void startFeeds();
     static void stopStore(Collection &collection);
@@ -251,7 +251,7 @@
     DirectRouter m_router;
     WaitingSegments m_waiting;
     HeldSegments m_held;
-    bool m_servesHeld = false; ///< A look at what is held is due.
+    bool m_serveHeldScheduled = false; ///< A look at what is held is due.
     ViewRelay m_relay;
     Collection m_routes;
     Collection m_targets;
--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -161,7 +161,7 @@
             const bool moves = m_settings.mechanisms.has(Mechanism::MovedOpenings)
                                || state == DirectTargetState::Evacuated;
             if (state == DirectTargetState::Healthy || !moves)
-                return deliver(*before, segment, service, SegmentCause::OfferedAgain);
+                return deliver(*before, segment, service, SegmentCause::OpeningRetransmitted);
             except = flow.target;
         }
         release(known->first, flow);
@@ -233,10 +233,10 @@
         }
         if (DirectTarget *target = targetOf(flow)) {
             acknowledged(flow, *target, segment, now);
-            if (holds(flow, *target, segment, now))
+            if (tryHold(flow, *target, segment, now))
                 return hold(flow, *target, segment);
             sent(flow, *target, segment, now);
-            if ((target->goneAt || m_targets.isUnreachable(*target)) && flow.repeats > 0) {
+            if ((target->goneAt || m_targets.isUnreachable(*target)) && flow.retransmits > 0) {
                 // The target has left, or is dark, and acknowledges nothing: the caller would wait
                 // until its time is up. The end of the flow lets it ask again at once.
                 decided(SegmentCause::TargetGone, segment, target, flow.service);
@@ -245,13 +245,13 @@
                 return AbortFlow{segment.acknowledged};
             }
             return deliver(*target, segment, flow.service,
-                           flow.repeats > 0 && segment.length > 0 ? SegmentCause::Repeated
-                                                                  : SegmentCause::Forwarded);
+                           flow.retransmits > 0 && segment.length > 0 ? SegmentCause::Retransmitted
+                                                                      : SegmentCause::Forwarded);
         }
         if (DirectTarget *restarted = m_targets.find(flow.target)) {
             // The flow went with the target's last life. The new one tells the caller so itself;
             // the flow is no load there, and what passes on it no sign of how the target does.
-            forgetHeld(known->first, flow);
+            dropHeld(known->first, flow);
             flow.state = FlowState::Closing;
             flow.seenAt = now;
             return deliver(*restarted, segment, flow.service, SegmentCause::Forwarded);
@@ -273,9 +273,9 @@
         flow.received = segment.acknowledged;
         flow.openedAt = now;
         ++named->openFlows;
-        flow.asked = true; // Whatever there was before, this daemon did not see the flow open.
+        flow.hadRequest = true; // Whatever there was before, this daemon did not see the flow open.
         acknowledged(flow, *named, segment, now);
-        if (holds(flow, *named, segment, now))
+        if (tryHold(flow, *named, segment, now))
             return hold(flow, *named, segment);
         sent(flow, *named, segment, now);
     }
@@ -312,7 +312,7 @@
         flow.lastByteAt = now;
         if (!flow.requested && flow.state == FlowState::Open) {
             flow.requested = true;
-            flow.asked = true;
+            flow.hadRequest = true;
             flow.sentAt = now;
             ++target.inFlight;
             m_gate.sent(target.entry.id, now);
@@ -332,7 +332,7 @@
     const Duration took = now - flow.lastByteAt;
     const Duration usual{static_cast<Duration::rep>(target.answerMicros)};
     m_targets.answered(target, took, now);
-    learnLoad(flow, target, took, segment, now);
+    updateWindow(flow, target, took, segment, now);
     measured(FlowTime::Answer, took, usual, segment, flow, target);
     endRequest(flow, target);
 }
@@ -356,7 +356,7 @@
 
 void DirectRouter::heard(Flow &flow, DirectTarget &target, TimePoint now)
 {
-    flow.repeats = 0;
+    flow.retransmits = 0;
     if (m_targets.heard(target, now) && m_observer.stateChanged)
         m_observer.stateChanged({target, m_targets.state(target)});
 }
@@ -364,9 +364,9 @@
 void DirectRouter::unanswered(Flow &flow, DirectTarget &target, TimePoint now)
 {
     // One flow is one witness, however often its caller sends again.
-    if (flow.repeats < UINT8_MAX)
-        ++flow.repeats;
-    if (flow.repeats > 1)
+    if (flow.retransmits < UINT8_MAX)
+        ++flow.retransmits;
+    if (flow.retransmits > 1)
         return;
     if (m_targets.unanswered(target, now) && m_observer.stateChanged)
         m_observer.stateChanged({target, m_targets.state(target)});
@@ -384,7 +384,7 @@
 
 void DirectRouter::release(const FlowKey &key, Flow &flow)
 {
-    forgetHeld(key, flow);
+    dropHeld(key, flow);
     DirectTarget *target = targetOf(flow);
     if (!target)
         return;
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -33,17 +33,18 @@
 struct DropSegment
 {
 };
-/// \brief Keep the segment until the router says what becomes of its request. \see HeldEnd
+/// \brief Keep the segment until the router says what becomes of its request. \see
+/// HeldRequestOutcome
 struct HoldSegment
 {
 };
 using SegmentVerdict = std::variant<DeliverSegment, AbortFlow, DropSegment, HoldSegment>;
 
 /// \brief What becomes of a request whose segments were held.
-struct HeldEnd
+struct HeldRequestOutcome
 {
     FlowKey flow;
-    bool goesOn = false; ///< Its segments are to be routed now; else they are to be dropped.
+    bool shouldForward = false; ///< Its segments are to be routed now; else they are to be dropped.
 };
 
 /// \brief A target to which a connection is to be tried.
@@ -56,12 +57,12 @@
 
 /// \brief What was decided about a segment, by cause.
 enum class SegmentCause {
-    Forwarded,    ///< To the target that holds the flow.
-    Placed,       ///< A new flow, at the target that was chosen.
-    OfferedAgain, ///< A first segment that came again, to the same target.
-    Repeated,     ///< Of an open flow, sent again: its target acknowledged nothing.
-    Moved,        ///< A first segment that came again, to another target than before.
-    NoRoute,      ///< No service has this address.
+    Forwarded,            ///< To the target that holds the flow.
+    Placed,               ///< A new flow, at the target that was chosen.
+    OpeningRetransmitted, ///< A first segment that came again, to the same target.
+    Retransmitted,        ///< Of an open flow, sent again: its target acknowledged nothing.
+    Moved,                ///< A first segment that came again, to another target than before.
+    NoRoute,              ///< No service has this address.
     StaleView,    ///< No service has this address as far as is known, which may be out of date.
     NoTarget,     ///< The service has no target that takes flows.
     RouteRemoved, ///< An open flow of an address that is no longer served.
@@ -69,7 +70,7 @@
     UnknownLabel, ///< The flow's target is not known here.
     Held,         ///< A request on an open flow, whose target is saturated: it waits here.
     Absorbed,     ///< Bytes sent again of a request that waits here.
-    GivenUp,      ///< A request that waited here until no answer could be in time any more.
+    Abandoned,    ///< A request that waited here until no answer could be in time any more.
 };
 
 /// \brief A decision, for the log and the counters.
@@ -160,14 +161,17 @@
     [[nodiscard]] SegmentVerdict route(const Segment &segment, TimePoint now);
     /// \return What has become of requests that were held, since the last call; to be asked after
     /// each route() and each serveHeld().
-    [[nodiscard]] std::vector<HeldEnd> takeHeldEnds() { return std::exchange(m_heldEnds, {}); }
+    [[nodiscard]] std::vector<HeldRequestOutcome> takeHeldOutcomes()
+    {
+        return std::exchange(m_heldOutcomes, {});
+    }
     /// \brief Looks for requests that may go on or are given up; to be called every few
     /// milliseconds while any are held.
     void serveHeld(TimePoint now);
     /// \brief Lets all go that is held, and holds nothing from now on.
     void stopHolding(TimePoint now);
     /// \brief There is no space to hold a flow's request; it goes on.
-    void dontHold(const FlowKey &flow, TimePoint now);
+    void cancelHold(const FlowKey &flow, TimePoint now);
 
     /// \brief Whether connections to targets can be tried. \see takeProbes
     void setProbing(bool probing) noexcept { m_probing = probing; }
@@ -193,18 +197,18 @@
         ServiceId service;
         std::uint32_t incarnation = 0; ///< Of the target, which forgets its flows when it starts.
         FlowState state = FlowState::Opening;
-        bool requested = false;     ///< A request waits for its answer.
-        bool held = false;          ///< A request waits to go to the target.
-        bool asked = false;         ///< There was a request before.
-        std::uint8_t repeats = 0;   ///< Segments sent again since the target was heard last.
-        std::uint32_t end = 0;      ///< Behind the last byte that the caller has sent.
-        std::uint32_t heldEnd = 0;  ///< The same, with what is held.
-        std::uint32_t received = 0; ///< Bytes that the caller has acknowledged.
-        TimePoint openedAt{};       ///< First segment that was seen here.
-        Duration waitedBefore{0};   ///< By the caller, before that one.
-        TimePoint establishedAt{};  ///< First segment that showed that its target had accepted.
-        TimePoint lastByteAt{};     ///< Of the request that waits.
-        TimePoint sentAt{};         ///< When the request that waits went to the target.
+        bool requested = false;       ///< A request waits for its answer.
+        bool held = false;            ///< A request waits to go to the target.
+        bool hadRequest = false;      ///< There was a request before.
+        std::uint8_t retransmits = 0; ///< Segments sent again since the target was heard last.
+        std::uint32_t end = 0;        ///< Behind the last byte that the caller has sent.
+        std::uint32_t heldEnd = 0;    ///< The same, with what is held.
+        std::uint32_t received = 0;   ///< Bytes that the caller has acknowledged.
+        TimePoint openedAt{};         ///< First segment that was seen here.
+        Duration waitedBefore{0};     ///< By the caller, before that one.
+        TimePoint establishedAt{};    ///< First segment that showed that its target had accepted.
+        TimePoint lastByteAt{};       ///< Of the request that waits.
+        TimePoint sentAt{};           ///< When the request that waits went to the target.
         TimePoint seenAt{};
     };
 
@@ -218,24 +222,24 @@
                                          ServiceId service, SegmentCause cause);
     [[nodiscard]] ServiceId serviceOf(const Route &route, const FlowKey &flow) const noexcept;
 
-    [[nodiscard]] bool holds(Flow &flow, DirectTarget &target, const Segment &segment,
-                             TimePoint now);
+    [[nodiscard]] bool tryHold(Flow &flow, DirectTarget &target, const Segment &segment,
+                               TimePoint now);
     [[nodiscard]] SegmentVerdict hold(Flow &flow, const DirectTarget &target,
                                       const Segment &segment);
     void serveHeld(DirectTarget &target, TimePoint now);
     void serveHeldAt(const Segment &segment, TimePoint now);
-    void letGo(const HeldRequest &request, TimePoint now);
+    void forwardHeld(const HeldRequest &request, TimePoint now);
     void giveUp(const HeldRequest &request);
-    void noLongerHeld(Flow &flow);
-    void forgetHeld(const FlowKey &key, Flow &flow);
+    void clearHeld(Flow &flow);
+    void dropHeld(const FlowKey &key, Flow &flow);
     [[nodiscard]] RequestPromise promiseOf(const FlowKey &flow) const noexcept;
 
     void acknowledged(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
     void sent(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
     void opened(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
     void answered(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
-    void learnLoad(const Flow &flow, const DirectTarget &target, Duration took,
-                   const Segment &segment, TimePoint now);
+    void updateWindow(const Flow &flow, const DirectTarget &target, Duration took,
+                      const Segment &segment, TimePoint now);
     void measured(FlowTime time, Duration took, Duration usual, const Segment &segment,
                   const Flow &flow, const DirectTarget &target) const;
     void heard(Flow &flow, DirectTarget &target, TimePoint now);
@@ -258,7 +262,7 @@
     RequestGate m_gate;
     ProbeScheduler m_probes;
     bool m_probing = false;
-    std::vector<HeldEnd> m_heldEnds;
+    std::vector<HeldRequestOutcome> m_heldOutcomes;
     RouteTablePtr m_routes = std::make_shared<const RouteTable>();
     std::map<Endpoint, ServiceId> m_removedRoutes; ///< Were served once, in this process' life.
     bool m_fresh = false;
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -18,7 +18,7 @@
     return route ? route->promise : RequestPromise{};
 }
 
-bool DirectRouter::holds(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
+bool DirectRouter::tryHold(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
 {
     if (segment.length == 0 || segment.finishes || segment.aborts)
         return false;
@@ -32,7 +32,7 @@
         return false;
     // A caller that opens a flow for a request has waited since the opening; one that opens it
     // ahead has not.
-    const bool openedForIt = !flow.asked && now - flow.establishedAt <= RequestFollowsWithin;
+    const bool openedForIt = !flow.hadRequest && now - flow.establishedAt <= RequestFollowsWithin;
     const TimePoint begunAt = openedForIt ? flow.openedAt - flow.waitedBefore : now;
     const HeldRequest request{segment.flow, promiseOf(segment.flow), begunAt, now};
     flow.held = m_gate.holds(target.entry.id, request);
@@ -62,7 +62,7 @@
             const auto request = m_gate.takeAny(id, now);
             if (!request)
                 break;
-            letGo(*request, now);
+            forwardHeld(*request, now);
         }
         if (!silent)
             serveHeld(*target, now);
@@ -74,7 +74,7 @@
     while (const auto request = m_gate.takeHopeless(target.entry.id, now))
         giveUp(*request);
     while (const auto request = m_gate.takeNext(target.entry.id, now))
-        letGo(*request, now);
+        forwardHeld(*request, now);
 }
 
 void DirectRouter::stopHolding(TimePoint now)
@@ -82,32 +82,32 @@
     m_gate.stopHolding();
     for (const TargetId target : m_gate.targetsWaitedFor()) {
         while (const auto request = m_gate.takeAny(target, now))
-            letGo(*request, now);
+            forwardHeld(*request, now);
     }
 }
 
-void DirectRouter::dontHold(const FlowKey &key, TimePoint now)
+void DirectRouter::cancelHold(const FlowKey &key, TimePoint now)
 {
     const auto known = m_flows.find(key);
     if (known == m_flows.end() || !m_gate.forget(known->second.target, key))
         return;
-    letGo({key, {}, now, now}, now);
+    forwardHeld({key, {}, now, now}, now);
 }
 
-void DirectRouter::letGo(const HeldRequest &request, TimePoint now)
+void DirectRouter::forwardHeld(const HeldRequest &request, TimePoint now)
 {
     const auto known = m_flows.find(request.flow);
     if (known == m_flows.end())
         return;
     Flow &flow = known->second;
-    noLongerHeld(flow);
+    clearHeld(flow);
     flow.lastByteAt = now;
-    m_heldEnds.push_back({request.flow, true});
+    m_heldOutcomes.push_back({request.flow, true});
     DirectTarget *target = targetOf(flow);
     if (!target)
         return;
     flow.requested = true;
-    flow.asked = true;
+    flow.hadRequest = true;
     flow.sentAt = now;
     ++target->inFlight;
     m_gate.sent(target->entry.id, now);
@@ -121,31 +121,31 @@
     const auto known = m_flows.find(request.flow);
     if (known == m_flows.end())
         return;
-    noLongerHeld(known->second);
-    m_heldEnds.push_back({request.flow, false});
+    clearHeld(known->second);
+    m_heldOutcomes.push_back({request.flow, false});
     Segment segment;
     segment.flow = request.flow;
-    decided(SegmentCause::GivenUp, segment, targetOf(known->second), known->second.service);
+    decided(SegmentCause::Abandoned, segment, targetOf(known->second), known->second.service);
 }
 
-void DirectRouter::noLongerHeld(Flow &flow)
+void DirectRouter::clearHeld(Flow &flow)
 {
     flow.held = false;
     if (DirectTarget *target = targetOf(flow))
         target->held -= target->held > 0 ? 1 : 0;
 }
 
-void DirectRouter::forgetHeld(const FlowKey &key, Flow &flow)
+void DirectRouter::dropHeld(const FlowKey &key, Flow &flow)
 {
     if (!flow.held)
         return;
-    noLongerHeld(flow);
+    clearHeld(flow);
     m_gate.forget(flow.target, key);
-    m_heldEnds.push_back({key, false});
+    m_heldOutcomes.push_back({key, false});
 }
 
-void DirectRouter::learnLoad(const Flow &flow, const DirectTarget &target, Duration took,
-                             const Segment &segment, TimePoint now)
+void DirectRouter::updateWindow(const Flow &flow, const DirectTarget &target, Duration took,
+                                const Segment &segment, TimePoint now)
 {
     const TargetWindow *window = m_gate.window(target.entry.id);
     if (!window)
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -11,7 +11,7 @@
     switch (cause) {
     case SegmentCause::Forwarded:
     case SegmentCause::Placed:
-    case SegmentCause::Repeated:
+    case SegmentCause::Retransmitted:
     case SegmentCause::Held:
     case SegmentCause::Absorbed:
         return Severity::Info;
--- a/tests/direct/router_held_test.cpp
+++ b/tests/direct/router_held_test.cpp
@@ -67,15 +67,15 @@
     fleet.now += 100ms;
     cr_assert(isDrop(saturated.ask(SaturatedFleet::Waits)));
     cr_assert(fleet.causes.back() == SegmentCause::Absorbed);
-    cr_assert(fleet.router().takeHeldEnds().empty());
+    cr_assert(fleet.router().takeHeldOutcomes().empty());
     const DirectTarget &target = fleet.router().targets().all().at(TargetId{1});
     cr_assert(target.held == 1 && target.unanswered == 0);
 
     (void)fleet.route(DirectFleet::data(SaturatedFleet::Busy, saturated.labels[30], 100, 0, 101));
     fleet.now += 300ms;
     fleet.router().serveHeld(fleet.now);
-    const auto ends = fleet.router().takeHeldEnds();
-    cr_assert(ends.size() == 1 && ends.front().goesOn);
+    const auto ends = fleet.router().takeHeldOutcomes();
+    cr_assert(ends.size() == 1 && ends.front().shouldForward);
     cr_assert(targetOf(saturated.ask(SaturatedFleet::Waits)) == TargetId{1});
     cr_assert(target.held == 0 && target.inFlight == 1);
 }
@@ -90,8 +90,8 @@
     Segment abort = DirectFleet::data(SaturatedFleet::Waits, saturated.labels[31], 100, 0, 1);
     abort.aborts = true;
     cr_assert(targetOf(fleet.route(abort)) == TargetId{1});
-    const auto ends = fleet.router().takeHeldEnds();
-    cr_assert(ends.size() == 1 && !ends.front().goesOn);
+    const auto ends = fleet.router().takeHeldOutcomes();
+    cr_assert(ends.size() == 1 && !ends.front().shouldForward);
     cr_assert_eq(fleet.router().gate().held(), 0);
 }
 
@@ -109,14 +109,14 @@
     silent.fleet.now += 300ms;
     (void)silent.fleet.open(36, 1);
     silent.fleet.router().serveHeld(silent.fleet.now);
-    const auto ends = silent.fleet.router().takeHeldEnds();
-    cr_assert(ends.size() == 1 && ends.front().goesOn);
+    const auto ends = silent.fleet.router().takeHeldOutcomes();
+    cr_assert(ends.size() == 1 && ends.front().shouldForward);
 
     SaturatedFleet stopped;
     cr_assert(isHeld(stopped.ask(SaturatedFleet::Waits)));
     stopped.fleet.router().stopHolding(stopped.fleet.now);
-    const auto let = stopped.fleet.router().takeHeldEnds();
-    cr_assert(let.size() == 1 && let.front().goesOn);
+    const auto let = stopped.fleet.router().takeHeldOutcomes();
+    cr_assert(let.size() == 1 && let.front().shouldForward);
     cr_assert(!isHeld(stopped.ask(32)));
 }
 
@@ -129,9 +129,9 @@
     cr_assert(isHeld(saturated.ask(SaturatedFleet::Waits)));
     fleet.now += 990ms;
     fleet.router().serveHeld(fleet.now);
-    const auto ends = fleet.router().takeHeldEnds();
-    cr_assert(ends.size() == 1 && !ends.front().goesOn);
-    cr_assert(fleet.causes.back() == SegmentCause::GivenUp);
+    const auto ends = fleet.router().takeHeldOutcomes();
+    cr_assert(ends.size() == 1 && !ends.front().shouldForward);
+    cr_assert(fleet.causes.back() == SegmentCause::Abandoned);
 }
 
 // The flow of a request goes through another daemon for a while. What its caller acknowledges when
