--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -229,7 +229,7 @@
     void serveHeld(DirectTarget &target, TimePoint now);
     void serveHeldAt(const Segment &segment, TimePoint now);
     void forwardHeld(const HeldRequest &request, TimePoint now);
-    void giveUp(const HeldRequest &request);
+    void abandonHeld(const HeldRequest &request);
     void clearHeld(Flow &flow);
     void dropHeld(const FlowKey &key, Flow &flow);
     [[nodiscard]] RequestPromise promiseOf(const FlowKey &flow) const noexcept;
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -72,7 +72,7 @@
 void DirectRouter::serveHeld(DirectTarget &target, TimePoint now)
 {
     while (const auto request = m_gate.takeHopeless(target.entry.id, now))
-        giveUp(*request);
+        abandonHeld(*request);
     while (const auto request = m_gate.takeNext(target.entry.id, now))
         forwardHeld(*request, now);
 }
@@ -116,7 +116,7 @@
     measured(FlowTime::Held, now - request.heldAt, Duration{0}, segment, flow, *target);
 }
 
-void DirectRouter::giveUp(const HeldRequest &request)
+void DirectRouter::abandonHeld(const HeldRequest &request)
 {
     const auto known = m_flows.find(request.flow);
     if (known == m_flows.end())
