--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -21,13 +21,13 @@
 constexpr Duration LongestRequest = 10s;
 
 /// \return How long a caller has waited that sends its opening segment for the so-manieth time.
-[[nodiscard]] Duration waitedBefore(std::uint8_t copy) noexcept
+[[nodiscard]] Duration waitedBefore(std::uint8_t retransmits) noexcept
 {
     constexpr Duration first = 200ms;
     constexpr Duration second = 600ms;
-    if (copy == 0)
+    if (retransmits == 0)
         return Duration{0};
-    return copy == 1 ? first : second;
+    return retransmits == 1 ? first : second;
 }
 
 } // namespace
@@ -186,7 +186,7 @@
         flow.incarnation = target.incarnation;
         flow.service = service;
         flow.end = segment.sequence + 1;
-        flow.waitedBefore = waitedBefore(segment.copy);
+        flow.waitedBefore = waitedBefore(segment.retransmits);
         flow.openedAt = now;
         flow.seenAt = now;
         ++target.opening;
--- a/src/core/direct/segment.h
+++ b/src/core/direct/segment.h
@@ -37,8 +37,8 @@
     std::uint32_t sequence = 0;     ///< Of its first byte.
     std::uint32_t acknowledged = 0; ///< First byte that the caller has not received yet.
     FlowLabel label;
-    std::uint16_t length = 0; ///< Bytes of data.
-    std::uint8_t copy = 0;    ///< Only of an opening segment: how often it was sent before.
+    std::uint16_t length = 0;     ///< Bytes of data.
+    std::uint8_t retransmits = 0; ///< Only of an opening segment: how often it was sent before.
     bool opens = false;
     bool finishes = false;
     bool aborts = false;
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -242,7 +242,7 @@
         LogEvent event{severityOf(decision.cause), Part::Flows, kind};
         addFlow(event, segment);
         if (segment.opens)
-            event.field("copy", segment.copy);
+            event.field("copy", segment.retransmits);
         else
             event.field("label", segment.label.value());
         const auto &names = node.router().routes().serviceNames;
--- a/tests/support/direct_fleet.h
+++ b/tests/support/direct_fleet.h
@@ -51,14 +51,14 @@
         m_router.putTarget(target(id, domain), now);
     }
 
-    [[nodiscard]] static Segment opening(std::uint16_t caller, std::uint8_t copy = 0)
+    [[nodiscard]] static Segment opening(std::uint16_t caller, std::uint8_t retransmits = 0)
     {
         Segment segment;
         segment.flow
             = {{0x64400007, static_cast<std::uint16_t>(FirstPort + caller)}, ServiceAddress};
         segment.sequence = FirstSequence;
-        segment.acknowledged = copy;
-        segment.copy = copy;
+        segment.acknowledged = retransmits;
+        segment.retransmits = retransmits;
         segment.opens = true;
         return segment;
     }
@@ -82,9 +82,9 @@
     void expire() { m_router.expire(now, {now, std::nullopt}); }
 
     /// \brief Opens a flow. \return Where it went; a null target where it was not delivered.
-    DeliverSegment open(std::uint16_t caller, std::uint8_t copy = 0)
+    DeliverSegment open(std::uint16_t caller, std::uint8_t retransmits = 0)
     {
-        const SegmentVerdict verdict = route(opening(caller, copy));
+        const SegmentVerdict verdict = route(opening(caller, retransmits));
         const auto *deliver = std::get_if<DeliverSegment>(&verdict);
         return deliver ? *deliver : DeliverSegment{};
     }
