--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -330,18 +330,18 @@
 void DirectRouter::answered(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
 {
     const Duration took = now - flow.lastByteAt;
-    const Duration usual{static_cast<Duration::rep>(target.answerMicros)};
+    const Duration average{static_cast<Duration::rep>(target.answerMicros)};
     m_targets.answered(target, took, now);
     updateWindow(flow, target, took, segment, now);
-    measured(FlowTime::Answer, took, usual, segment, flow, target);
+    measured(FlowTime::Answer, took, average, segment, flow, target);
     endRequest(flow, target);
 }
 
-void DirectRouter::measured(FlowTime time, Duration took, Duration usual, const Segment &segment,
+void DirectRouter::measured(FlowTime time, Duration took, Duration average, const Segment &segment,
                             const Flow &flow, const DirectTarget &target) const
 {
     if (m_observer.measured)
-        m_observer.measured({time, took, usual, segment, target, flow.service});
+        m_observer.measured({time, took, average, segment, target, flow.service});
 }
 
 void DirectRouter::opened(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -98,11 +98,11 @@
 };
 
 /// \brief A time that was measured at a flow.
-struct FlowMeasured
+struct FlowMeasurement
 {
     FlowTime time = FlowTime::Open;
     Duration took{0};
-    Duration usual{0}; ///< What the target took lately; 0 for nothing known.
+    Duration average{0}; ///< What the target took lately; 0 for nothing known.
     const Segment &segment;
     const DirectTarget &target;
     ServiceId service;
@@ -113,8 +113,8 @@
 {
     const DirectTarget &target;
     bool saturated = false;
-    double window = 0;       ///< Requests of this daemon that it may have at once.
-    Duration usualAnswer{0}; ///< Moving mean that decided.
+    double window = 0;         ///< Requests of this daemon that it may have at once.
+    Duration averageAnswer{0}; ///< Moving mean that decided.
     ServiceId service;
 };
 
@@ -124,7 +124,7 @@
     std::function<void(const SegmentDecision &)> decided;
     std::function<void(const TargetStateChange &)> stateChanged;
     std::function<void(const SaturationChange &)> saturated;
-    std::function<void(const FlowMeasured &)> measured;
+    std::function<void(const FlowMeasurement &)> measured;
 };
 
 /// \brief Places flows whose targets answer their callers directly (direct server return), and
@@ -240,7 +240,7 @@
     void answered(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
     void updateWindow(const Flow &flow, const DirectTarget &target, Duration took,
                       const Segment &segment, TimePoint now);
-    void measured(FlowTime time, Duration took, Duration usual, const Segment &segment,
+    void measured(FlowTime time, Duration took, Duration average, const Segment &segment,
                   const Flow &flow, const DirectTarget &target) const;
     void heard(Flow &flow, DirectTarget &target, TimePoint now);
     void unanswered(Flow &flow, DirectTarget &target, TimePoint now);
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -216,7 +216,7 @@
     return now - tried >= m_settings.trialEvery;
 }
 
-double DirectTargets::usualAnswer(const std::vector<DirectTarget *> &among) const noexcept
+double DirectTargets::averageAnswer(const std::vector<DirectTarget *> &among) const noexcept
 {
     double sum = 0;
     std::size_t count = 0;
@@ -229,20 +229,20 @@
     return count > 0 ? sum / static_cast<double>(count) : 0;
 }
 
-double DirectTargets::cost(const DirectTarget &target, double usualMicros,
+double DirectTargets::cost(const DirectTarget &target, double averageMicros,
                            TimePoint now) const noexcept
 {
     double work = target.load();
     if (has(Mechanism::OpenFlowWeight))
         work += m_settings.openFlowWeight * target.openFlows;
     double slowness = 1.0;
-    if (usualMicros > 0 && target.answerMicros > 0 && has(Mechanism::Slowness)) {
+    if (averageMicros > 0 && target.answerMicros > 0 && has(Mechanism::Slowness)) {
         const double halfLives = has(Mechanism::SlownessFades)
                                      ? secondsOf(now - target.answeredAt) / secondsOf(SpeedHalfLife)
                                      : 0.0;
         const double faded = std::exp2(-halfLives);
         const double relative
-            = std::clamp(target.answerMicros / usualMicros, LeastSlowness, MostSlowness);
+            = std::clamp(target.answerMicros / averageMicros, LeastSlowness, MostSlowness);
         slowness *= 1.0 + (relative - 1.0) * faded;
     }
     // One more request, and how much longer than usual it would take there.
@@ -264,12 +264,12 @@
 DirectTarget *DirectTargets::least(const std::vector<DirectTarget *> &among, TimePoint now,
                                    Random &random) const
 {
-    const double usual = usualAnswer(among);
+    const double averageMicros = averageAnswer(among);
     DirectTarget *best = nullptr;
     double bestCost = 0;
     std::uint32_t ties = 0;
     for (DirectTarget *target : among) {
-        const double cost = this->cost(*target, usual, now);
+        const double cost = this->cost(*target, averageMicros, now);
         if (best && cost > bestCost)
             continue;
         if (!best || cost < bestCost) {
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -201,9 +201,9 @@
     /// \brief One flow finds out whether the target is back.
     void allowTrialFlow(DirectTarget &target, TimePoint now) noexcept;
     [[nodiscard]] bool admits(const DirectTarget &target, TimePoint now) const;
-    [[nodiscard]] double cost(const DirectTarget &target, double usualMicros,
+    [[nodiscard]] double cost(const DirectTarget &target, double averageMicros,
                               TimePoint now) const noexcept;
-    [[nodiscard]] double usualAnswer(const std::vector<DirectTarget *> &among) const noexcept;
+    [[nodiscard]] double averageAnswer(const std::vector<DirectTarget *> &among) const noexcept;
     /// \brief Targets of one failure domain, or of all others, that may get a new flow.
     struct Candidates
     {
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -164,7 +164,7 @@
         = [this](const TargetStateChange &change) { m_log.write(change, *m_node, monotonicNow()); };
     ports.observer.saturated
         = [this](const SaturationChange &change) { m_log.write(change, *m_node, monotonicNow()); };
-    ports.observer.measured = [this](const FlowMeasured &measured) {
+    ports.observer.measured = [this](const FlowMeasurement &measured) {
         m_metrics.measured(measured, m_node->router().routes());
         m_log.write(measured, *m_node, monotonicNow());
     };
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -257,7 +257,7 @@
     });
 }
 
-void DirectLog::write(const FlowMeasured &measured, const DirectNode &node, TimePoint now)
+void DirectLog::write(const FlowMeasurement &measured, const DirectNode &node, TimePoint now)
 {
     if (measured.time == FlowTime::Held) {
         constexpr std::string_view released = "released";
@@ -272,13 +272,13 @@
         return;
     }
     if (measured.time != FlowTime::Answer || measured.took < LeastSlowAnswer
-        || measured.took < SlowFactor * measured.usual)
+        || measured.took < SlowFactor * measured.average)
         return;
     constexpr std::string_view kind = "slow_answer";
     admit(Part::Flows, kind, now, [&] {
         LogEvent event{Severity::Info, Part::Flows, kind};
         addFlow(event, measured.segment);
-        event.field("took_ms", measured.took).field("usual_ms", measured.usual);
+        event.field("took_ms", measured.took).field("usual_ms", measured.average);
         addTarget(event, measured.target, now);
         addView(event, node);
         return event;
@@ -310,7 +310,7 @@
         addTarget(event, change.target, now);
         event.field("held", change.target.held)
             .field("window", change.window)
-            .field("usual_ms", change.usualAnswer);
+            .field("usual_ms", change.averageAnswer);
         addView(event, node);
         return event;
     });
--- a/src/daemon/direct/direct_log.h
+++ b/src/daemon/direct/direct_log.h
@@ -35,7 +35,7 @@
     void write(const SegmentDecision &decision, const DirectNode &node, TimePoint now);
     /// \brief Writes times that are unusual, and how long requests were held; all times are in the
     /// histograms.
-    void write(const FlowMeasured &measured, const DirectNode &node, TimePoint now);
+    void write(const FlowMeasurement &measured, const DirectNode &node, TimePoint now);
     void write(const TargetStateChange &change, const DirectNode &node, TimePoint now);
     void write(const SaturationChange &change, const DirectNode &node, TimePoint now);
     void write(const NodeNotice &notice, TimePoint now);
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -36,7 +36,7 @@
     ++entryOf(decision.service, routes).causes[static_cast<std::size_t>(decision.cause)];
 }
 
-void DirectMetrics::measured(const FlowMeasured &measured, const RouteTable &routes)
+void DirectMetrics::measured(const FlowMeasurement &measured, const RouteTable &routes)
 {
     Service &service = entryOf(measured.service, routes);
     service.times[static_cast<std::size_t>(measured.time)].add(measured.took);
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -51,7 +51,7 @@
 {
 public:
     void decided(const SegmentDecision &decision, const RouteTable &routes);
-    void measured(const FlowMeasured &measured, const RouteTable &routes);
+    void measured(const FlowMeasurement &measured, const RouteTable &routes);
     void asked(const PeerAsked &asked);
 
     /// \return The metrics page. \param peers Connections of other daemons.
