--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -49,7 +49,7 @@
     node.m_relay.add(prefix, copy);
 }
 
-DirectNode::DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectPorts ports,
+DirectNode::DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks ports,
                        std::uint64_t seed)
     : m_identity(std::move(identity))
     , m_settings(settings)
@@ -177,7 +177,7 @@
         if (!end.shouldForward)
             continue;
         const SegmentVerdict verdict = m_router.route(held.segment, m_ports.feed.now());
-        m_ports.carry(held.segment, held.payload, verdict);
+        m_ports.applyVerdict(held.segment, held.payload, verdict);
     }
 }
 
@@ -242,7 +242,7 @@
     const TimePoint now = m_ports.feed.now();
     for (const WaitingSegments::Waiting &waiting : m_waiting.take(now)) {
         if (const auto verdict = route(waiting.segment, waiting.payload))
-            m_ports.carry(waiting.segment, waiting.payload, *verdict);
+            m_ports.applyVerdict(waiting.segment, waiting.payload, *verdict);
     }
 }
 
@@ -289,8 +289,8 @@
 
 void DirectNode::notice(const NodeNotice &notice) const
 {
-    if (m_ports.noticed)
-        m_ports.noticed(notice);
+    if (m_ports.onNotice)
+        m_ports.onNotice(notice);
 }
 
 } // namespace baobabtrail
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -97,18 +97,19 @@
                    WaitingFull, StoodStill, PeerAsked, TurningAway, DomainEvacuated>;
 
 /// \brief What a DirectNode needs of its surroundings.
-struct DirectPorts
+struct DirectCallbacks
 {
     FeedPorts feed;
     PeerPorts peers;
     DirectoryReader reader;
     DirectObserver observer;
-    std::function<void(const NodeNotice &)> noticed; ///< May be empty.
+    std::function<void(const NodeNotice &)> onNotice; ///< May be empty.
     /// Tries a connection to a target and tells the outcome once, later; empty where that can't be
     /// done.
     std::function<void(const Endpoint &target, std::function<void(ProbeOutcome)>)> probe;
     /// Carries out the verdict on a segment that had to wait.
-    std::function<void(const Segment &, const std::string &payload, const SegmentVerdict &)> carry;
+    std::function<void(const Segment &, const std::string &payload, const SegmentVerdict &)>
+        applyVerdict;
     std::function<void()> ready; ///< Called once, when the directory is complete; may be empty.
 };
 
@@ -134,7 +135,7 @@
 public:
     /// \param identity Failure domain of this daemon, and where it answers others.
     /// \param seed Seed of every random choice.
-    DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectPorts ports,
+    DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks ports,
                std::uint64_t seed);
     ~DirectNode();
     DirectNode(const DirectNode &) = delete;
@@ -246,7 +247,7 @@
 
     PeerIdentity m_identity;
     DirectNodeSettings m_settings;
-    DirectPorts m_ports;
+    DirectCallbacks m_ports;
     Random m_random;
     DirectRouter m_router;
     WaitingSegments m_waiting;
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -140,9 +140,9 @@
     m_node->start(m_settings.roots);
 }
 
-DirectPorts DirectDaemon::ports()
+DirectCallbacks DirectDaemon::ports()
 {
-    DirectPorts ports;
+    DirectCallbacks ports;
     ports.feed.now = [] { return monotonicNow(); };
     ports.feed.after = runtime().after;
     ports.feed.call
@@ -168,7 +168,7 @@
         m_metrics.measured(measured, m_node->router().routes());
         m_log.write(measured, *m_node, monotonicNow());
     };
-    ports.noticed = [this](const NodeNotice &notice) {
+    ports.onNotice = [this](const NodeNotice &notice) {
         m_metrics.objectsRefused += std::holds_alternative<ObjectRefused>(notice);
         m_metrics.stoodStill += std::holds_alternative<StoodStill>(notice);
         if (const auto *asked = std::get_if<PeerAsked>(&notice))
@@ -179,8 +179,9 @@
         probeTarget(target, std::move(done));
     };
     ports.ready = [this] { m_log.ready(*m_node); };
-    ports.carry = [this](const Segment &segment, const std::string &payload,
-                         const SegmentVerdict &verdict) { carry(segment, payload, verdict); };
+    ports.applyVerdict
+        = [this](const Segment &segment, const std::string &payload,
+                 const SegmentVerdict &verdict) { carry(segment, payload, verdict); };
     return ports;
 }
 
--- a/src/daemon/direct/direct_daemon.h
+++ b/src/daemon/direct/direct_daemon.h
@@ -55,7 +55,7 @@
 
     void fromCaller(const Endpoint &sender, std::string_view bytes);
     void carry(const Segment &segment, std::string_view bytes, const SegmentVerdict &verdict);
-    [[nodiscard]] DirectPorts ports();
+    [[nodiscard]] DirectCallbacks ports();
     void callStore(const PlatformRequest &request, std::function<void(PlatformResult)> done);
     void askPeer(const Endpoint &peer, const PeerQuestion &question, const AskLimits &limits,
                  std::function<void(PeerResult)> done);
--- a/tests/directory/cluster_test.cpp
+++ b/tests/directory/cluster_test.cpp
@@ -50,8 +50,8 @@
 Test(directory, anEntryThatCannotBeReadNamesNoTarget)
 {
     std::size_t said = 0;
-    const auto onPorts = [&said](std::size_t, DirectPorts &ports) {
-        ports.noticed = [&said](const NodeNotice &notice) {
+    const auto onPorts = [&said](std::size_t, DirectCallbacks &ports) {
+        ports.onNotice = [&said](const NodeNotice &notice) {
             said += std::holds_alternative<ObjectRefused>(notice);
         };
         ports.reader.target
--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -33,7 +33,7 @@
 
     Fleet(std::size_t size, Duration patience)
         : cluster(
-            size, Roots, 7, [](std::size_t, DirectPorts &) {}, settings(patience))
+            size, Roots, 7, [](std::size_t, DirectCallbacks &) {}, settings(patience))
     {
         for (std::size_t index = 0; index < size; ++index)
             cluster.kill(index);
--- a/tests/lapse-known/random_test.cpp
+++ b/tests/lapse-known/random_test.cpp
@@ -64,7 +64,7 @@
     constexpr std::uint64_t seeds = 200;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         std::size_t tookForGone = 0; // Daemons, however often.
-        DirectCluster cluster{9, 3, seed, [&](std::size_t, DirectPorts &ports) {
+        DirectCluster cluster{9, 3, seed, [&](std::size_t, DirectCallbacks &ports) {
                                   ports.observer.stateChanged
                                       = [&](const TargetStateChange &change) {
                                             tookForGone += change.state == DirectTargetState::Gone;
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -24,12 +24,12 @@
     static constexpr Duration Hop = 500us;
 
     /// Sets more ports of a daemon that starts.
-    using OnPorts = std::function<void(std::size_t index, DirectPorts &ports)>;
+    using OnPorts = std::function<void(std::size_t index, DirectCallbacks &ports)>;
 
     /// \param roots The first so many daemons are roots.
     DirectCluster(
         std::size_t size, std::size_t roots, std::uint64_t seed,
-        OnPorts onPorts = [](std::size_t, DirectPorts &) {}, DirectNodeSettings settings = {})
+        OnPorts onPorts = [](std::size_t, DirectCallbacks &) {}, DirectNodeSettings settings = {})
         : store(time)
         , m_seed(seed)
         , m_onPorts(std::move(onPorts))
@@ -160,9 +160,9 @@
             };
     }
 
-    [[nodiscard]] DirectPorts ports(std::size_t index)
+    [[nodiscard]] DirectCallbacks ports(std::size_t index)
     {
-        DirectPorts ports;
+        DirectCallbacks ports;
         ports.feed.now = [this] { return time.now(); };
         ports.feed.after = [this, index](Duration wait, std::function<void()> call) {
             time.after(wait, at(index, std::move(call)));
@@ -192,7 +192,7 @@
                   ask(index, peer, question, limits, std::move(done));
               };
         ports.reader = reader();
-        ports.carry = [](const Segment &, const std::string &, const SegmentVerdict &) {};
+        ports.applyVerdict = [](const Segment &, const std::string &, const SegmentVerdict &) {};
         m_onPorts(index, ports);
         return ports;
     }
--- a/tests/support/load_replay.h
+++ b/tests/support/load_replay.h
@@ -60,7 +60,7 @@
         , m_targets(pattern.targets)
         , m_cluster(
               pattern.daemons, pattern.daemons, seed,
-              [this](std::size_t index, DirectPorts &ports) { setPorts(index, ports); },
+              [this](std::size_t index, DirectCallbacks &ports) { setPorts(index, ports); },
               settingsOf(pattern))
     {
         for (std::size_t id = 1; id <= pattern.targets; ++id)
@@ -141,7 +141,7 @@
         return settings;
     }
 
-    void setPorts(std::size_t index, DirectPorts &ports)
+    void setPorts(std::size_t index, DirectCallbacks &ports)
     {
         ports.reader.routes
             = [this](const StoredObject &object) -> std::variant<RouteTable, DirectoryFinding> {
@@ -170,8 +170,8 @@
         ports.observer.decided = [this](const SegmentDecision &decision) {
             m_result.held += m_measuring && decision.cause == SegmentCause::Held;
         };
-        ports.carry = [this](const Segment &segment, const std::string &,
-                             const SegmentVerdict &verdict) { carried(segment, verdict); };
+        ports.applyVerdict = [this](const Segment &segment, const std::string &,
+                                    const SegmentVerdict &verdict) { carried(segment, verdict); };
         (void)index;
     }
 
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -19,7 +19,7 @@
     explicit LoggedCluster(std::size_t size, std::uint32_t linesPerSecond = 20)
         : m_linesPerSecond(linesPerSecond)
         , cluster(size, 2, 1,
-                  [this](std::size_t index, DirectPorts &ports) { connect(index, ports); })
+                  [this](std::size_t index, DirectCallbacks &ports) { connect(index, ports); })
     {
     }
 
@@ -57,7 +57,7 @@
     [[nodiscard]] std::uint64_t leftOut(std::size_t daemon) { return m_logs.at(daemon)->leftOut(); }
 
 private:
-    void connect(std::size_t index, DirectPorts &ports)
+    void connect(std::size_t index, DirectCallbacks &ports)
     {
         auto &log = m_logs[index];
         log = std::make_unique<daemon::DirectLog>(
@@ -85,7 +85,7 @@
         ports.observer.measured = [this, index, now](const FlowMeasured &measured) {
             m_logs[index]->write(measured, *cluster.node(index), now());
         };
-        ports.noticed
+        ports.onNotice
             = [this, index, now](const NodeNotice &notice) { m_logs[index]->write(notice, now()); };
         ports.ready = [this, index] { m_logs[index]->ready(*cluster.node(index)); };
     }
