--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -37,8 +37,8 @@
     , take(takeChange)
     , copy(vouching)
     , store(
-          prefix, feedSettings(node.m_settings.store, vouching), node.m_ports.feed, node.m_random,
-          copy,
+          prefix, feedSettings(node.m_settings.store, vouching), node.m_callbacks.feed,
+          node.m_random, copy,
           [this, &node](const CollectionChange &change) {
               (node.*take)(change);
               node.m_relay.changed();
@@ -53,9 +53,9 @@
                        std::uint64_t seed)
     : m_identity(std::move(identity))
     , m_settings(settings)
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(ports))
     , m_random(seed)
-    , m_router(m_identity.domain, settings.flows, m_random, m_ports.observer)
+    , m_router(m_identity.domain, settings.flows, m_random, m_callbacks.observer)
     , m_held(settings.flows.overload.mostHeldBytes)
     , m_relay(m_identity.domain, settings.relay, relayPorts())
     , m_routes(*this, "routes", RoutesPrefix, &DirectNode::takeRoutes)
@@ -65,7 +65,7 @@
     , m_peers(m_settings.peers, m_identity, peerPorts(), m_random,
               {shared(m_routes), shared(m_targets), shared(m_evacuations)}, peerHandlers())
 {
-    m_router.setProbing(static_cast<bool>(m_ports.probe));
+    m_router.setProbing(static_cast<bool>(m_callbacks.probe));
 }
 
 DirectNode::~DirectNode() = default;
@@ -81,7 +81,7 @@
     m_roots = roots;
     const bool named = std::find(roots.begin(), roots.end(), m_identity.address) != roots.end();
     m_isRoot = roots.empty() || named;
-    m_router.setColdOwners(roots.size(), named, m_ports.feed.now());
+    m_router.setColdOwners(roots.size(), named, m_callbacks.feed.now());
     startFeeds();
 }
 
@@ -105,10 +105,10 @@
 
 void DirectNode::expirePeriodically()
 {
-    m_ports.feed.after(ExpirePeriod, [this, alive = std::weak_ptr{m_alive}] {
+    m_callbacks.feed.after(ExpirePeriod, [this, alive = std::weak_ptr{m_alive}] {
         if (alive.expired())
             return;
-        m_router.expire(m_ports.feed.now(),
+        m_router.expire(m_callbacks.feed.now(),
                         {m_targets.copy.confirmedAt(), m_targets.copy.returnedAt()});
         startProbes();
         m_relay.expire();
@@ -122,7 +122,7 @@
     if (!ready()) {
         if (!m_settings.flows.mechanisms.has(Mechanism::WaitForView))
             return DropSegment{};
-        if (!m_waiting.push(segment, payload, m_ports.feed.now()))
+        if (!m_waiting.push(segment, payload, m_callbacks.feed.now()))
             notice(WaitingFull{m_waiting.size()});
         return std::nullopt;
     }
@@ -133,7 +133,7 @@
 
 std::optional<SegmentVerdict> DirectNode::route(const Segment &segment, std::string_view payload)
 {
-    const TimePoint now = m_ports.feed.now();
+    const TimePoint now = m_callbacks.feed.now();
     SegmentVerdict verdict = m_router.route(segment, now);
     if (std::holds_alternative<HoldSegment>(verdict) && !m_held.push(segment, payload)) {
         m_router.cancelHold(segment.flow, now);
@@ -151,13 +151,13 @@
 void DirectNode::startProbes()
 {
     for (const ProbeRequest &probe : m_router.takeProbes()) {
-        m_ports.probe(probe.address,
-                      [this, probe, alive = std::weak_ptr{m_alive}](ProbeOutcome outcome) {
-                          if (alive.expired())
-                              return;
-                          m_router.probed(probe, outcome, m_ports.feed.now());
-                          startProbes();
-                      });
+        m_callbacks.probe(probe.address,
+                          [this, probe, alive = std::weak_ptr{m_alive}](ProbeOutcome outcome) {
+                              if (alive.expired())
+                                  return;
+                              m_router.probed(probe, outcome, m_callbacks.feed.now());
+                              startProbes();
+                          });
     }
 }
 
@@ -176,8 +176,8 @@
     for (const HeldSegments::Held &held : m_held.take(end.flow)) {
         if (!end.shouldForward)
             continue;
-        const SegmentVerdict verdict = m_router.route(held.segment, m_ports.feed.now());
-        m_ports.applyVerdict(held.segment, held.payload, verdict);
+        const SegmentVerdict verdict = m_router.route(held.segment, m_callbacks.feed.now());
+        m_callbacks.applyVerdict(held.segment, held.payload, verdict);
     }
 }
 
@@ -187,11 +187,11 @@
 {
     if (std::exchange(m_serveHeldScheduled, true))
         return;
-    m_ports.feed.after(ServeHeldPeriod, [this, alive = std::weak_ptr{m_alive}] {
+    m_callbacks.feed.after(ServeHeldPeriod, [this, alive = std::weak_ptr{m_alive}] {
         if (alive.expired())
             return;
         m_serveHeldScheduled = false;
-        m_router.serveHeld(m_ports.feed.now());
+        m_router.serveHeld(m_callbacks.feed.now());
         finishHeld();
         if (m_router.gate().held() > 0)
             scheduleServeHeld();
@@ -205,7 +205,7 @@
 
 void DirectNode::stopHolding()
 {
-    m_router.stopHolding(m_ports.feed.now());
+    m_router.stopHolding(m_callbacks.feed.now());
     finishHeld();
 }
 
@@ -214,7 +214,7 @@
     notice(StoodStill{gap});
     for (Collection *collection : all()) {
         collection->copy.doubt();
-        collection->copy.interrupted(m_ports.feed.now()); // It may have been away meanwhile.
+        collection->copy.interrupted(m_callbacks.feed.now()); // It may have been away meanwhile.
     }
     startFeeds();
 }
@@ -237,19 +237,19 @@
         return;
     m_announced = true;
     m_router.setFresh(fresh());
-    if (m_ports.ready)
-        m_ports.ready();
-    const TimePoint now = m_ports.feed.now();
+    if (m_callbacks.ready)
+        m_callbacks.ready();
+    const TimePoint now = m_callbacks.feed.now();
     for (const WaitingSegments::Waiting &waiting : m_waiting.take(now)) {
         if (const auto verdict = route(waiting.segment, waiting.payload))
-            m_ports.applyVerdict(waiting.segment, waiting.payload, *verdict);
+            m_callbacks.applyVerdict(waiting.segment, waiting.payload, *verdict);
     }
 }
 
 std::optional<Duration> DirectNode::ageOf(const Collection &collection) const
 {
     const auto confirmed = collection.copy.confirmedAt();
-    return confirmed ? std::optional{m_ports.feed.now() - *confirmed} : std::nullopt;
+    return confirmed ? std::optional{m_callbacks.feed.now() - *confirmed} : std::nullopt;
 }
 
 std::vector<DirectNode::CollectionStatus> DirectNode::collections() const
@@ -273,7 +273,7 @@
 std::optional<Duration> DirectNode::sinceStoreReturn() const
 {
     const auto returned = m_targets.copy.returnedAt();
-    return returned ? std::optional{m_ports.feed.now() - *returned} : std::nullopt;
+    return returned ? std::optional{m_callbacks.feed.now() - *returned} : std::nullopt;
 }
 
 bool DirectNode::fresh() const
@@ -289,8 +289,8 @@
 
 void DirectNode::notice(const NodeNotice &notice) const
 {
-    if (m_ports.onNotice)
-        m_ports.onNotice(notice);
+    if (m_callbacks.onNotice)
+        m_callbacks.onNotice(notice);
 }
 
 } // namespace baobabtrail
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -247,7 +247,7 @@
 
     PeerIdentity m_identity;
     DirectNodeSettings m_settings;
-    DirectCallbacks m_ports;
+    DirectCallbacks m_callbacks;
     Random m_random;
     DirectRouter m_router;
     WaitingSegments m_waiting;
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -28,7 +28,7 @@
 void DirectNode::takeRoutes(const CollectionChange &change)
 {
     for (const StoredObject &object : change.written) {
-        auto read = m_ports.reader.routes(object);
+        auto read = m_callbacks.reader.routes(object);
         if (auto *finding = std::get_if<DirectoryFinding>(&read)) {
             refuse(object.key, std::move(*finding), false);
             continue;
@@ -44,9 +44,9 @@
 
 void DirectNode::takeTargets(const CollectionChange &change)
 {
-    const TimePoint now = m_ports.feed.now();
+    const TimePoint now = m_callbacks.feed.now();
     for (const StoredObject &object : change.written) {
-        const auto read = m_ports.reader.target(object);
+        const auto read = m_callbacks.reader.target(object);
         if (const auto *finding = std::get_if<DirectoryFinding>(&read)) {
             refuseTarget(object.key, *finding);
             continue;
@@ -56,7 +56,7 @@
     }
     for (const std::string &key : change.removed) {
         m_refused.erase(key);
-        if (const auto target = m_ports.reader.targetId(key))
+        if (const auto target = m_callbacks.reader.targetId(key))
             m_router.removeTarget(*target, change.afterOutage, now);
     }
 }
@@ -66,7 +66,7 @@
 {
     const auto set = [&](const std::string &key, bool evacuated) {
         const std::string domain = key.substr(EvacuationsPrefix.size());
-        if (m_router.setEvacuated(domain, evacuated, m_ports.feed.now()))
+        if (m_router.setEvacuated(domain, evacuated, m_callbacks.feed.now()))
             notice(DomainEvacuated{domain, !evacuated, m_router.targets().openFlowsIn(domain),
                                    change.version});
     };
@@ -139,7 +139,7 @@
 
 PeerPorts DirectNode::peerPorts()
 {
-    PeerPorts ports = m_ports.peers;
+    PeerPorts ports = m_callbacks.peers;
     ports.ended = [this](const QuestionEnd &end) { notice(PeerAsked{end}); };
     return ports;
 }
@@ -153,8 +153,8 @@
 ViewRelay::Ports DirectNode::relayPorts()
 {
     ViewRelay::Ports ports;
-    ports.now = m_ports.feed.now;
-    ports.after = m_ports.feed.after;
+    ports.now = m_callbacks.feed.now;
+    ports.after = m_callbacks.feed.after;
     ports.lineage = [this] { return lineage(); };
     ports.isRoot = [this](const Endpoint &daemon) {
         return std::find(m_roots.begin(), m_roots.end(), daemon) != m_roots.end();
@@ -180,7 +180,7 @@
     if ((m_isRoot || byStore()) && !alone) {
         lineage.origin = m_identity.address;
         lineage.pulse
-            = static_cast<std::uint64_t>(m_ports.feed.now().time_since_epoch() / PulseUnit);
+            = static_cast<std::uint64_t>(m_callbacks.feed.now().time_since_epoch() / PulseUnit);
     }
     lineage.path.insert(lineage.path.begin(), m_identity.address);
     return lineage;
@@ -192,7 +192,7 @@
 void DirectNode::tellFollowers()
 {
     const auto age = viewAge();
-    const TimePoint confirmed = age ? m_ports.feed.now() - *age : m_toldAt;
+    const TimePoint confirmed = age ? m_callbacks.feed.now() - *age : m_toldAt;
     const TimePoint heard = m_peers.heardAt().value_or(m_pulseAt);
     const bool confirmedAnew = confirmed - m_toldAt >= LeastNewsOfAge;
     const bool pulse = heard - m_pulseAt >= LeastNewsOfPulse * PulseUnit;
@@ -209,7 +209,7 @@
 {
     using Draw = boost::random::uniform_int_distribution<Duration::rep>;
     const Duration wait{Draw{0, most.count()}(m_random)};
-    m_ports.feed.after(wait, [this, &collection, alive = std::weak_ptr{m_alive}] {
+    m_callbacks.feed.after(wait, [this, &collection, alive = std::weak_ptr{m_alive}] {
         if (alive.expired() || m_isRoot || collection.store.running())
             return;
         const PeerState state = m_peers.state();
@@ -222,7 +222,7 @@
 // whoever wrote it may have meant that target to go. Its open flows stay where they are.
 void DirectNode::refuseTarget(const std::string &key, DirectoryFinding finding)
 {
-    const auto target = m_ports.reader.targetId(key);
+    const auto target = m_callbacks.reader.targetId(key);
     const bool replaces = target && m_router.targets().find(*target) != nullptr;
     if (replaces)
         m_router.refuseTarget(*target);
