--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -31,20 +31,20 @@
 } // namespace
 
 DirectNode::Collection::Collection(DirectNode &node, std::string_view shortName,
-                                   std::string_view keyPrefix, Take takeChange, Vouching vouching)
+                                   std::string_view keyPrefix, Apply applyChange, Vouching vouching)
     : name(shortName)
     , prefix(keyPrefix)
-    , take(takeChange)
+    , apply(applyChange)
     , copy(vouching)
     , store(
           prefix, feedSettings(node.m_settings.store, vouching), node.m_callbacks.feed,
           node.m_random, copy,
           [this, &node](const CollectionChange &change) {
-              (node.*take)(change);
+              (node.*apply)(change);
               node.m_relay.changed();
               node.announceReady();
           },
-          [this, &node](const FeedContact &end) { node.storeContact(*this, end); })
+          [this, &node](const FeedContact &end) { node.onStoreContact(*this, end); })
 {
     node.m_relay.add(prefix, copy);
 }
@@ -58,9 +58,9 @@
     , m_router(m_identity.domain, settings.flows, m_random, m_callbacks.observer)
     , m_held(settings.flows.overload.mostHeldBytes)
     , m_relay(m_identity.domain, settings.relay, relayPorts())
-    , m_routes(*this, "routes", RoutesPrefix, &DirectNode::takeRoutes)
-    , m_targets(*this, "targets", TargetsPrefix, &DirectNode::takeTargets)
-    , m_evacuations(*this, "evacuations", EvacuationsPrefix, &DirectNode::takeEvacuations,
+    , m_routes(*this, "routes", RoutesPrefix, &DirectNode::applyRoutes)
+    , m_targets(*this, "targets", TargetsPrefix, &DirectNode::applyTargets)
+    , m_evacuations(*this, "evacuations", EvacuationsPrefix, &DirectNode::applyEvacuations,
                     Vouching::Watched)
     , m_peers(m_settings.peers, m_identity, peerPorts(), m_random,
               {shared(m_routes), shared(m_targets), shared(m_evacuations)}, peerHandlers())
@@ -100,7 +100,7 @@
 void DirectNode::stopStore(Collection &collection)
 {
     collection.store.stop();
-    collection.byStore = false;
+    collection.storeConnected = false;
 }
 
 void DirectNode::expirePeriodically()
@@ -123,7 +123,7 @@
         if (!m_settings.flows.mechanisms.has(Mechanism::WaitForView))
             return DropSegment{};
         if (!m_waiting.push(segment, payload, m_callbacks.feed.now()))
-            notice(WaitingFull{m_waiting.size()});
+            notice(WaitingQueueFull{m_waiting.size()});
         return std::nullopt;
     }
     if (segment.opens)
@@ -209,9 +209,9 @@
     finishHeld();
 }
 
-void DirectNode::stoodStill(Duration gap)
+void DirectNode::processStalled(Duration gap)
 {
-    notice(StoodStill{gap});
+    notice(ProcessStalled{gap});
     for (Collection *collection : all()) {
         collection->copy.doubt();
         collection->copy.interrupted(m_callbacks.feed.now()); // It may have been away meanwhile.
@@ -256,8 +256,8 @@
 {
     std::vector<CollectionStatus> out;
     for (const Collection *each : all())
-        out.push_back(
-            {each->name, each->copy.version(), each->copy.size(), ageOf(*each), each->byStore});
+        out.push_back({each->name, each->copy.version(), each->copy.size(), ageOf(*each),
+                       each->storeConnected});
     return out;
 }
 
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -63,7 +63,7 @@
     std::optional<Duration> age; ///< Of the view in force.
 };
 /// \brief A question to another daemon has ended.
-struct PeerAsked
+struct PeerQueryEnded
 {
     const QuestionEnd &end;
 };
@@ -75,7 +75,7 @@
 };
 /// \brief A segment that waits for the directory was dropped for a newer one; its caller sends it
 /// again.
-struct WaitingFull
+struct WaitingQueueFull
 {
     std::size_t waiting = 0;
 };
@@ -88,13 +88,13 @@
     ObjectVersion version;
 };
 /// \brief The process stood still; the directory counts as out of date until it is read again.
-struct StoodStill
+struct ProcessStalled
 {
     Duration gap{0};
 };
 using NodeNotice
     = std::variant<RoutesInForce, ObjectRefused, StoreContact, PeerContact, HistoryLost,
-                   WaitingFull, StoodStill, PeerAsked, TurningAway, DomainEvacuated>;
+                   WaitingQueueFull, ProcessStalled, PeerQueryEnded, TurningAway, DomainEvacuated>;
 
 /// \brief What a DirectNode needs of its surroundings.
 struct DirectCallbacks
@@ -157,7 +157,7 @@
     void stopHolding();
 
     /// \brief The process stood still for so long, by a clock that does not.
-    void stoodStill(Duration gap);
+    void processStalled(Duration gap);
 
     /// \return Whether a complete directory is in force, so that traffic can be taken.
     [[nodiscard]] bool ready() const noexcept;
@@ -174,7 +174,7 @@
         ObjectVersion version;
         std::size_t objects = 0;
         std::optional<Duration> age; ///< Since the store confirmed it.
-        bool byStore = false;        ///< The store answers, and this daemon asks it.
+        bool storeConnected = false; ///< The store answers, and this daemon asks it.
     };
     [[nodiscard]] std::vector<CollectionStatus> collections() const;
     [[nodiscard]] bool isRoot() const noexcept { return m_isRoot; }
@@ -192,17 +192,17 @@
     /// \brief One collection: the copy, and how it is kept up to date from the store.
     struct Collection
     {
-        using Take = void (DirectNode::*)(const CollectionChange &);
-        Collection(DirectNode &node, std::string_view shortName, std::string_view prefix, Take take,
-                   Vouching vouching = Vouching::Dated);
+        using Apply = void (DirectNode::*)(const CollectionChange &);
+        Collection(DirectNode &node, std::string_view shortName, std::string_view prefix,
+                   Apply apply, Vouching vouching = Vouching::Dated);
 
         std::string_view name;
         std::string prefix;
-        Take take;
+        Apply apply;
         CollectionCopy copy;
         StoreFeed store;
         bool storeLost = false;
-        bool byStore = false; ///< The store answers, and this daemon asks it.
+        bool storeConnected = false; ///< The store answers, and this daemon asks it.
     };
 
     [[nodiscard]] std::optional<SegmentVerdict> route(const Segment &segment,
@@ -215,21 +215,24 @@
     void startFeeds();
     static void stopStore(Collection &collection);
     [[nodiscard]] SharedCollection shared(Collection &collection);
-    void takeRoutes(const CollectionChange &change);
-    void takeTargets(const CollectionChange &change);
-    void takeEvacuations(const CollectionChange &change);
-    void storeContact(Collection &collection, const FeedContact &end);
-    void peerContact(PeerState state);
+    void applyRoutes(const CollectionChange &change);
+    void applyTargets(const CollectionChange &change);
+    void applyEvacuations(const CollectionChange &change);
+    void onStoreContact(Collection &collection, const FeedContact &end);
+    void onPeerState(PeerState state);
     /// \brief The peers have answered for the copies.
-    void peersAnswered(bool changed);
-    void tellFollowers();
+    void onPeersAnswered(bool changed);
+    void notifyFollowers();
     [[nodiscard]] ViewRelay::Ports relayPorts();
     [[nodiscard]] PeerPorts peerPorts();
     [[nodiscard]] PeerHandlers peerHandlers();
     [[nodiscard]] bool hasCopies() const noexcept;
-    [[nodiscard]] bool byStore() const noexcept { return m_routes.byStore && m_targets.byStore; }
+    [[nodiscard]] bool storeConnected() const noexcept
+    {
+        return m_routes.storeConnected && m_targets.storeConnected;
+    }
     [[nodiscard]] Lineage lineage() const;
-    void askStoreLater(Collection &collection, Duration most);
+    void startStoreLater(Collection &collection, Duration most);
     void announceReady();
     void refuseTarget(const std::string &key, DirectoryFinding finding);
     void refuse(const std::string &key, DirectoryFinding finding, bool replaces);
@@ -258,8 +261,9 @@
     Collection m_targets;
     Collection m_evacuations;
     PeerFeed m_peers;
-    TimePoint m_toldAt{};  ///< Confirmation that followers have been told of.
-    TimePoint m_pulseAt{}; ///< Pulse that they have been told of while the copies were stale.
+    TimePoint m_notifiedConfirmedAt{}; ///< Confirmation that followers have been told of.
+    TimePoint
+        m_notifiedHeartbeatAt{}; ///< Pulse that they have been told of while the copies were stale.
     bool m_hadCopies = false;
     /// What was last said of each object that can't be read: its writer goes on writing it.
     std::map<std::string, std::string> m_refused;
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -16,16 +16,16 @@
 namespace {
 
 /// When no daemon answers any more, all that are left ask the store within this time.
-constexpr Duration LostSpread = 200ms;
+constexpr Duration LostJitter = 200ms;
 /// When the others answer that the store is away, each looks for itself within this time, in case
 /// that it is away for them alone.
-constexpr Duration StaleSpread = 400ms;
+constexpr Duration StaleJitter = 400ms;
 /// A confirmation that is younger by less than this is no news to followers.
-constexpr Duration LeastNewsOfAge = 200ms;
+constexpr Duration MinConfirmationStep = 200ms;
 
 } // namespace
 
-void DirectNode::takeRoutes(const CollectionChange &change)
+void DirectNode::applyRoutes(const CollectionChange &change)
 {
     for (const StoredObject &object : change.written) {
         auto read = m_callbacks.reader.routes(object);
@@ -42,7 +42,7 @@
     }
 }
 
-void DirectNode::takeTargets(const CollectionChange &change)
+void DirectNode::applyTargets(const CollectionChange &change)
 {
     const TimePoint now = m_callbacks.feed.now();
     for (const StoredObject &object : change.written) {
@@ -62,7 +62,7 @@
 }
 
 // The key says all: an entry that can't be read was still put there to empty the domain.
-void DirectNode::takeEvacuations(const CollectionChange &change)
+void DirectNode::applyEvacuations(const CollectionChange &change)
 {
     const auto set = [&](const std::string &key, bool evacuated) {
         const std::string domain = key.substr(EvacuationsPrefix.size());
@@ -76,7 +76,7 @@
         set(key, false);
 }
 
-void DirectNode::storeContact(Collection &collection, const FeedContact &end)
+void DirectNode::onStoreContact(Collection &collection, const FeedContact &end)
 {
     if (end.historyGone)
         notice(HistoryLost{collection.name, collection.copy.version()});
@@ -84,13 +84,13 @@
     // The store may have dropped the long watch too, which would hear of that much later.
     if (&collection != &m_evacuations && (end.historyGone || (!lost && collection.storeLost)))
         m_evacuations.store.askAnew();
-    collection.byStore = !lost;
+    collection.storeConnected = !lost;
     if (!lost && !end.historyGone) {
-        tellFollowers();
+        notifyFollowers();
         // A source that has no copy yet, or that the store refuses, and with it all that have their
         // copies from there, takes this daemon's once it is told of them.
         const bool first = hasCopies() && !std::exchange(m_hadCopies, hasCopies());
-        const bool helps = byStore() && m_peers.state() == PeerState::Stale;
+        const bool helps = storeConnected() && m_peers.state() == PeerState::Stale;
         if ((first || helps) && !m_roots.empty())
             m_peers.tellSource();
     }
@@ -100,7 +100,7 @@
     notice(StoreContact{collection.name, lost, end.failure, ageOf(collection)});
 }
 
-void DirectNode::peerContact(PeerState state)
+void DirectNode::onPeerState(PeerState state)
 {
     notice(PeerContact{state, m_peers.source(), viewAge()});
     if (m_isRoot) {
@@ -115,15 +115,15 @@
         else if (!collection->copy.complete())
             collection->store.start(true); // Callers wait; nothing is there to go on with.
         else
-            askStoreLater(*collection, state == PeerState::Lost ? LostSpread : StaleSpread);
+            startStoreLater(*collection, state == PeerState::Lost ? LostJitter : StaleJitter);
     }
 }
 
-void DirectNode::peersAnswered(bool changed)
+void DirectNode::onPeersAnswered(bool changed)
 {
     m_hadCopies = hasCopies();
     if (!changed) {
-        tellFollowers();
+        notifyFollowers();
         return;
     }
     m_relay.changed();
@@ -132,22 +132,23 @@
 
 SharedCollection DirectNode::shared(Collection &collection)
 {
-    return {
-        collection.prefix, &collection.copy,
-        [this, take = collection.take](const CollectionChange &change) { (this->*take)(change); }};
+    return {collection.prefix, &collection.copy,
+            [this, apply = collection.apply](const CollectionChange &change) {
+                (this->*apply)(change);
+            }};
 }
 
 PeerPorts DirectNode::peerPorts()
 {
     PeerPorts ports = m_callbacks.peers;
-    ports.ended = [this](const QuestionEnd &end) { notice(PeerAsked{end}); };
+    ports.ended = [this](const QuestionEnd &end) { notice(PeerQueryEnded{end}); };
     return ports;
 }
 
 PeerHandlers DirectNode::peerHandlers()
 {
-    return {[this](PeerState state) { peerContact(state); },
-            [this](bool changed) { peersAnswered(changed); }};
+    return {[this](PeerState state) { onPeerState(state); },
+            [this](bool changed) { onPeersAnswered(changed); }};
 }
 
 ViewRelay::Ports DirectNode::relayPorts()
@@ -167,17 +168,17 @@
 Lineage DirectNode::lineage() const
 {
     const PeerState state = m_peers.state();
-    const bool lost = !byStore() && state == PeerState::Lost;
+    const bool lost = !storeConnected() && state == PeerState::Lost;
     // One that has no copy yet is not alone as long as somebody on its way up looks after the
     // store; a root does so itself.
     const bool alone = lost && (hasCopies() || !(m_isRoot || m_peers.isLinked()));
     Lineage lineage;
     // A root that the store refuses may have its copy from another daemon.
-    if (!byStore() && (!m_isRoot || state == PeerState::Fresh) && !alone)
+    if (!storeConnected() && (!m_isRoot || state == PeerState::Fresh) && !alone)
         lineage = m_peers.lineage();
     // Also without the store a root looks after it, unless it hears nobody: then others had better
     // look elsewhere.
-    if ((m_isRoot || byStore()) && !alone) {
+    if ((m_isRoot || storeConnected()) && !alone) {
         lineage.origin = m_identity.address;
         lineage.pulse
             = static_cast<std::uint64_t>(m_callbacks.feed.now().time_since_epoch() / PulseUnit);
@@ -189,23 +190,23 @@
 // Followers that wait hear at once that the copies were confirmed, or that this daemon is linked:
 // their own copies are then hardly older than these. Two daemons that ask each other don't go on
 // for ever, since small steps are not told.
-void DirectNode::tellFollowers()
+void DirectNode::notifyFollowers()
 {
     const auto age = viewAge();
-    const TimePoint confirmed = age ? m_callbacks.feed.now() - *age : m_toldAt;
-    const TimePoint heard = m_peers.heardAt().value_or(m_pulseAt);
-    const bool confirmedAnew = confirmed - m_toldAt >= LeastNewsOfAge;
-    const bool pulse = heard - m_pulseAt >= LeastNewsOfPulse * PulseUnit;
-    if (!confirmedAnew && !pulse)
+    const TimePoint confirmed = age ? m_callbacks.feed.now() - *age : m_notifiedConfirmedAt;
+    const TimePoint heard = m_peers.heardAt().value_or(m_notifiedHeartbeatAt);
+    const bool newlyConfirmed = confirmed - m_notifiedConfirmedAt >= MinConfirmationStep;
+    const bool pulse = heard - m_notifiedHeartbeatAt >= LeastNewsOfPulse * PulseUnit;
+    if (!newlyConfirmed && !pulse)
         return;
-    m_toldAt = confirmed;
-    m_pulseAt = heard;
+    m_notifiedConfirmedAt = confirmed;
+    m_notifiedHeartbeatAt = heard;
     m_relay.changed();
 }
 
 // At a chance time: hundreds of daemons lose the same peer at the same moment, and all of their
 // calls would reach the store at once.
-void DirectNode::askStoreLater(Collection &collection, Duration most)
+void DirectNode::startStoreLater(Collection &collection, Duration most)
 {
     using Draw = boost::random::uniform_int_distribution<Duration::rep>;
     const Duration wait{Draw{0, most.count()}(m_random)};
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -170,8 +170,8 @@
     };
     ports.onNotice = [this](const NodeNotice &notice) {
         m_metrics.objectsRefused += std::holds_alternative<ObjectRefused>(notice);
-        m_metrics.stoodStill += std::holds_alternative<StoodStill>(notice);
-        if (const auto *asked = std::get_if<PeerAsked>(&notice))
+        m_metrics.stoodStill += std::holds_alternative<ProcessStalled>(notice);
+        if (const auto *asked = std::get_if<PeerQueryEnded>(&notice))
             m_metrics.asked(*asked);
         m_log.write(notice, monotonicNow());
     };
@@ -214,7 +214,7 @@
     HttpCall call = peerCall(peer, question, limits);
     m_peers->call(std::move(call), [this, done = std::move(done)](const HttpResult &result) {
         PeerResult read = peerResult(result);
-        ++(read.reply ? m_metrics.peersAnswered : m_metrics.peersFailed);
+        ++(read.reply ? m_metrics.onPeersAnswered : m_metrics.peersFailed);
         done(std::move(read));
     });
 }
@@ -321,7 +321,7 @@
         const Duration suspended = (bootNow() - boot) - (monotonicNow() - steady);
         const Duration gap = std::max(late, suspended);
         if (gap >= LongestPause && m_node)
-            m_node->stoodStill(gap);
+            m_node->processStalled(gap);
         watchClocks();
     });
 }
@@ -382,7 +382,7 @@
     }
     if (moved) {
         m_store = std::make_unique<PlatformClient>(m_context, m_settings.store);
-        m_node->stoodStill(Duration{0});
+        m_node->processStalled(Duration{0});
     }
     writeEvent(LogEvent{Severity::Info, Part::Daemon, "reload"}
                    .field("reason", reason)
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -137,7 +137,7 @@
             event.field("view_age_ms", *in.age);
         return event;
     }
-    LogEvent operator()(const PeerAsked &in) const
+    LogEvent operator()(const PeerQueryEnded &in) const
     {
         const QuestionEnd &end = in.end;
         const bool taken = end.outcome == QuestionOutcome::Taken;
@@ -180,13 +180,13 @@
                                        : "its targets get no new flows; open ones stay");
         return event;
     }
-    LogEvent operator()(const WaitingFull &in) const
+    LogEvent operator()(const WaitingQueueFull &in) const
     {
         LogEvent event{Severity::Warning, Part::Flows, "waiting_full"};
         event.field("waiting", in.waiting).field("outcome", "dropped; the caller sends it again");
         return event;
     }
-    LogEvent operator()(const StoodStill &in) const
+    LogEvent operator()(const ProcessStalled &in) const
     {
         LogEvent event{Severity::Warning, Part::Daemon, "stood_still"};
         event.field("gap_ms", in.gap).field("outcome", "the view is read again");
@@ -321,7 +321,7 @@
     constexpr std::array<std::string_view, std::variant_size_v<NodeNotice>> kinds{
         "routes_in_force", "object_refused", "store_contact", "peer_contact", "history_lost",
         "waiting_full",    "stood_still",    "peer_question", "turning_away", "domain_evacuated"};
-    const auto *asked = std::get_if<PeerAsked>(&notice);
+    const auto *asked = std::get_if<PeerQueryEnded>(&notice);
     if (asked)
         writeSearch(asked->end, now);
     if (asked && isCountedOnly(asked->end))
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -42,7 +42,7 @@
     service.times[static_cast<std::size_t>(measured.time)].add(measured.took);
 }
 
-void DirectMetrics::asked(const PeerAsked &asked)
+void DirectMetrics::asked(const PeerQueryEnded &asked)
 {
     const QuestionEnd &end = asked.end;
     const auto outcome = static_cast<std::size_t>(end.outcome);
@@ -161,7 +161,7 @@
     event("log_line_left_out", logLinesLeftOut);
     event("stood_still", stoodStill);
     event("packet_delayed", packetsDelayed);
-    event("peer_answered", peersAnswered);
+    event("peer_answered", onPeersAnswered);
     event("peer_failed", peersFailed);
     event("peer_served", peersServed);
     page.family("baobabtrail_probes_total", "counter",
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -52,7 +52,7 @@
 public:
     void decided(const SegmentDecision &decision, const RouteTable &routes);
     void measured(const FlowMeasurement &measured, const RouteTable &routes);
-    void asked(const PeerAsked &asked);
+    void asked(const PeerQueryEnded &asked);
 
     /// \return The metrics page. \param peers Connections of other daemons.
     /// \param logLinesLeftOut So far.
@@ -63,8 +63,8 @@
     std::uint64_t packetsRefused = 0; ///< Datagrams that are no packets.
     std::uint64_t objectsRefused = 0; ///< Objects of the store that can't be used.
     std::uint64_t stoodStill = 0;
-    std::uint64_t packetsDelayed = 0; ///< Waited for the directory.
-    std::uint64_t peersAnswered = 0;  ///< Questions of this daemon.
+    std::uint64_t packetsDelayed = 0;  ///< Waited for the directory.
+    std::uint64_t onPeersAnswered = 0; ///< Questions of this daemon.
     std::uint64_t peersFailed = 0;
     std::uint64_t peersServed = 0;     ///< Questions of others.
     std::uint64_t peerBytesServed = 0; ///< Bodies of the answers.
--- a/src/daemon/direct/direct_tables.cpp
+++ b/src/daemon/direct/direct_tables.cpp
@@ -166,10 +166,10 @@
     for (const DirectNode::CollectionStatus &each : node.collections()) {
         const std::string source
             = peers.source().isNull() ? std::string{NotKnown} : toString(peers.source());
-        const std::size_t depth = each.byStore ? 0 : peers.lineage().path.size();
+        const std::size_t depth = each.storeConnected ? 0 : peers.lineage().path.size();
         result.rows.push_back({std::string{each.name}, text(each.version.value()),
                                text(each.objects), each.age ? milliseconds(*each.age) : NotKnown,
-                               each.byStore ? "store" : source, text(depth),
+                               each.storeConnected ? "store" : source, text(depth),
                                text(node.relay().followers()), text(node.relay().sentOn()),
                                lateWhy(node)});
     }
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -76,7 +76,7 @@
                 return;
             Daemon &woken = *m_daemons[index];
             woken.frozen = false;
-            woken.node->stoodStill(span);
+            woken.node->processStalled(span);
             for (const auto &event : std::exchange(woken.missed, {}))
                 event();
         });
