--- a/src/core/direct/cold_targets.cpp
+++ b/src/core/direct/cold_target_limiter.cpp
@@ -1,4 +1,4 @@
-#include "core/direct/cold_targets.h"
+#include "core/direct/cold_target_limiter.h"
 
 #include <algorithm>
 
@@ -9,11 +9,11 @@
 constexpr Duration Span = 1s;
 /// While settings change, the owners of before and those of now may both believe that they are the
 /// ones: each set takes half of the rate.
-constexpr double SetsOfOwners = 2.0;
+constexpr double OverlappingOwnerSets = 2.0;
 
 } // namespace
 
-void ColdTargets::setOwners(std::size_t owners, bool isOwner, TimePoint now)
+void ColdTargetLimiter::setOwners(std::size_t owners, bool isOwner, TimePoint now)
 {
     m_owners = owners;
     // A process that has just started does not know what it opened a moment before.
@@ -22,11 +22,11 @@
     m_isOwner = isOwner;
 }
 
-bool ColdTargets::admits(TargetId target, const ColdLimit &limit, TimePoint now) const
+bool ColdTargetLimiter::admits(TargetId target, const ColdLimit &limit, TimePoint now) const
 {
     if (!m_isOwner || m_owners == 0 || now - m_ownerSince < Span)
         return false;
-    const double part = limit.perSecond / (SetsOfOwners * static_cast<double>(m_owners));
+    const double part = limit.perSecond / (OverlappingOwnerSets * static_cast<double>(m_owners));
     const auto most = static_cast<std::size_t>(part);
     const auto found = m_placed.find(target);
     if (found == m_placed.end())
@@ -36,12 +36,12 @@
     return static_cast<std::size_t>(within) < most;
 }
 
-void ColdTargets::placed(TargetId target, TimePoint now)
+void ColdTargetLimiter::placed(TargetId target, TimePoint now)
 {
     m_placed[target].push_back(now);
 }
 
-void ColdTargets::expire(TimePoint now)
+void ColdTargetLimiter::expire(TimePoint now)
 {
     for (auto it = m_placed.begin(); it != m_placed.end();) {
         std::erase_if(it->second, [now](TimePoint at) { return now - at > Span; });
--- a/src/core/direct/cold_targets.h
+++ b/src/core/direct/cold_target_limiter.h
@@ -14,7 +14,7 @@
 /// one flow each is enough. So only a few open flows at cold targets at all: the roots, whom every
 /// daemon knows from its settings. Each of them keeps to a fixed part of the rate, whoever else is
 /// alive; the others use the targets that are warm.
-class ColdTargets
+class ColdTargetLimiter
 {
 public:
     /// \param owners Daemons that share the rate. \param isOwner Whether this is one of them.
--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 /// Routes that were removed are remembered up to this many, to end their open flows at once.
-constexpr std::size_t MostRemovedRoutes = 4096;
+constexpr std::size_t MaxRemovedRoutes = 4096;
 /// A flow that both ends have closed is kept this long for segments that are sent again.
 constexpr Duration ClosingLinger = 2s;
 /// Both ends send again what was not acknowledged for 200 ms. What comes sooner behind the flow's
 /// newest bytes was overtaken on its way; taken for sent again, it made targets suspect that
 /// answered, and ended flows of targets that were leaving in good order.
-constexpr Duration ResentAfter = 150ms;
+constexpr Duration MinRetransmitDelay = 150ms;
 /// A request without an answer stops counting as work after this long where its route names no
 /// timeout: its caller has given up.
-constexpr Duration LongestRequest = 10s;
+constexpr Duration MaxRequestTime = 10s;
 
 /// \return How long a caller has waited that sends its opening segment for the so-manieth time.
 [[nodiscard]] Duration waitedBefore(std::uint8_t retransmits) noexcept
@@ -46,7 +46,7 @@
 {
     for (const auto &[address, route] : m_routes->routes) {
         const bool removed = !routes->find(address);
-        if (removed && m_removedRoutes.size() < MostRemovedRoutes)
+        if (removed && m_removedRoutes.size() < MaxRemovedRoutes)
             m_removedRoutes.emplace(address, route.shares.front().service);
     }
     std::erase_if(m_removedRoutes, [&](const auto &item) { return routes->find(item.first); });
@@ -153,7 +153,7 @@
         DirectTarget *before = targetOf(flow);
         if (before) {
             // A copy that waited here with the first one says nothing: its target had no time.
-            if (flow.state == FlowState::Opening && now - flow.openedAt >= ResentAfter)
+            if (flow.state == FlowState::Opening && now - flow.openedAt >= MinRetransmitDelay)
                 unanswered(flow, *before, now);
             // A second target that answers too would confuse the caller. Only one that is known to
             // be silent or leaving is given up.
@@ -317,7 +317,7 @@
             ++target.inFlight;
             m_gate.sent(target.entry.id, now);
         }
-    } else if (segment.length > 0 && now - flow.lastByteAt >= ResentAfter) {
+    } else if (segment.length > 0 && now - flow.lastByteAt >= MinRetransmitDelay) {
         unanswered(flow, target, now);
     }
     if ((segment.finishes || segment.aborts) && flow.state != FlowState::Closing) {
@@ -403,7 +403,7 @@
         Flow &flow = it->second;
         const Duration silent = now - flow.seenAt;
         const Duration timeout = flow.requested ? promiseOf(it->first).timeout : Duration{0};
-        if (flow.requested && silent >= (timeout > Duration{0} ? timeout : LongestRequest)) {
+        if (flow.requested && silent >= (timeout > Duration{0} ? timeout : MaxRequestTime)) {
             if (DirectTarget *target = targetOf(flow))
                 endRequest(flow, *target);
         }
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -144,7 +144,7 @@
     /// address is not served. \see AbortFlow
     void setFresh(bool fresh) noexcept { m_fresh = fresh; }
     void putTarget(const RegisteredTarget &target, TimePoint now);
-    /// \brief Which daemons open flows at cold targets. \see ColdTargets::setOwners
+    /// \brief Which daemons open flows at cold targets. \see ColdTargetLimiter::setOwners
     void setColdOwners(std::size_t owners, bool isOwner, TimePoint now)
     {
         m_targets.setColdOwners(owners, isOwner, now);
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -16,8 +16,8 @@
 /// time).
 constexpr Duration SpeedHalfLife = 2s;
 /// Bounds of how much slower or faster than usual a target may count.
-constexpr double MostSlowness = 8.0;
-constexpr double LeastSlowness = 0.8;
+constexpr double MaxSlowness = 8.0;
+constexpr double MinSlowness = 0.8;
 /// Probes that must fail in a row before they are believed: a single one may be a lost packet.
 constexpr std::uint32_t FailedProbesToConfirm = 2;
 
@@ -242,7 +242,7 @@
                                      : 0.0;
         const double faded = std::exp2(-halfLives);
         const double relative
-            = std::clamp(target.answerMicros / averageMicros, LeastSlowness, MostSlowness);
+            = std::clamp(target.answerMicros / averageMicros, MinSlowness, MaxSlowness);
         slowness *= 1.0 + (relative - 1.0) * faded;
     }
     // One more request, and how much longer than usual it would take there.
@@ -261,8 +261,8 @@
     return known;
 }
 
-DirectTarget *DirectTargets::least(const std::vector<DirectTarget *> &among, TimePoint now,
-                                   Random &random) const
+DirectTarget *DirectTargets::leastLoaded(const std::vector<DirectTarget *> &among, TimePoint now,
+                                         Random &random) const
 {
     const double averageMicros = averageAnswer(among);
     DirectTarget *best = nullptr;
@@ -292,14 +292,15 @@
     const auto found = m_services.find(service);
     if (found == m_services.end())
         return nullptr;
-    m_near.clear();
-    m_far.clear();
-    m_last.clear();
+    m_sameDomain.clear();
+    m_otherDomains.clear();
+    m_lastResort.clear();
     for (const TargetId id : found->second) {
         DirectTarget &target = m_targets.at(id);
         if (id == except || !admits(target, now))
             continue;
-        Candidates &candidates = target.local || !has(Mechanism::OwnDomainFirst) ? m_near : m_far;
+        Candidates &candidates
+            = target.local || !has(Mechanism::OwnDomainFirst) ? m_sameDomain : m_otherDomains;
         const DirectTargetState state = this->state(target);
         if (takesFlows(target, now))
             candidates.known.push_back(&target);
@@ -308,22 +309,22 @@
         const bool last = state == DirectTargetState::Suspect || state == DirectTargetState::Lapsed
                           || (state == DirectTargetState::Healthy && target.probePending);
         if (last)
-            m_last.push_back(&target);
+            m_lastResort.push_back(&target);
     }
-    DirectTarget *near = least(eligible(m_near), now, random);
+    DirectTarget *near = leastLoaded(eligible(m_sameDomain), now, random);
     const auto busy = [this](const DirectTarget &target) {
         const double slots = std::max<std::uint32_t>(target.entry.slots, 1);
         return target.load() / slots > m_settings.spillAbove;
     };
     DirectTarget *best = near;
     if (!near || busy(*near)) {
-        DirectTarget *far = least(eligible(m_far), now, random);
+        DirectTarget *far = leastLoaded(eligible(m_otherDomains), now, random);
         if (far && (!near || far->load() < near->load()))
             best = far;
     }
     // When nobody seems to answer, what this daemon hears is the likelier fault.
     if (!best)
-        best = least(m_last, now, random);
+        best = leastLoaded(m_lastResort, now, random);
     if (best && state(*best) == DirectTargetState::Suspect)
         best->trialAt = now;
     if (best && coldLimit(*best, now))
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/direct/cold_targets.h"
+#include "core/direct/cold_target_limiter.h"
 #include "core/direct/label_table.h"
 #include "core/direct/mechanisms.h"
 #include "core/direct/probe_scheduler.h"
@@ -116,7 +116,7 @@
     bool put(const RegisteredTarget &entry, TimePoint now);
     /// \brief What the targets of each service bear while they are cold.
     void setColdLimits(std::map<ServiceId, ColdLimit> limits) { m_coldLimits = std::move(limits); }
-    /// \brief Which daemons open flows at cold targets. \see ColdTargets::setOwners
+    /// \brief Which daemons open flows at cold targets. \see ColdTargetLimiter::setOwners
     void setColdOwners(std::size_t owners, bool isOwner, TimePoint now)
     {
         m_cold.setOwners(owners, isOwner, now);
@@ -219,20 +219,20 @@
 
     /// \return Those among which to choose.
     [[nodiscard]] std::vector<DirectTarget *> &eligible(Candidates &candidates) const;
-    [[nodiscard]] DirectTarget *least(const std::vector<DirectTarget *> &among, TimePoint now,
-                                      Random &random) const;
+    [[nodiscard]] DirectTarget *leastLoaded(const std::vector<DirectTarget *> &among, TimePoint now,
+                                            Random &random) const;
 
     std::string m_domain;
     DirectSettings m_settings;
     LabelTable m_labels;
-    ColdTargets m_cold;
+    ColdTargetLimiter m_cold;
     std::map<ServiceId, ColdLimit> m_coldLimits;
     std::map<std::string, TimePoint> m_evacuated; ///< Failure domains.
     std::unordered_map<TargetId, DirectTarget> m_targets;
     std::unordered_map<ServiceId, std::vector<TargetId>> m_services;
-    Candidates m_near; ///< Kept between calls to save allocations.
-    Candidates m_far;
-    std::vector<DirectTarget *> m_last;
+    Candidates m_sameDomain; ///< Kept between calls to save allocations.
+    Candidates m_otherDomains;
+    std::vector<DirectTarget *> m_lastResort;
 };
 
 } // namespace baobabtrail
--- a/src/core/direct/held_segments.h
+++ b/src/core/direct/held_segments.h
@@ -21,16 +21,16 @@
         std::string payload;
     };
 
-    /// \param mostBytes Kept at once, over all flows.
-    explicit HeldSegments(std::size_t mostBytes) noexcept
-        : m_mostBytes(mostBytes)
+    /// \param maxBytes Kept at once, over all flows.
+    explicit HeldSegments(std::size_t maxBytes) noexcept
+        : m_maxBytes(maxBytes)
     {
     }
 
     /// \return Whether there was space; else the segment was not kept.
     bool push(const Segment &segment, std::string_view payload)
     {
-        if (m_bytes + payload.size() > m_mostBytes)
+        if (m_bytes + payload.size() > m_maxBytes)
             return false;
         m_bytes += payload.size();
         m_held[segment.flow].push_back({segment, std::string{payload}});
@@ -53,7 +53,7 @@
     [[nodiscard]] std::size_t bytes() const noexcept { return m_bytes; }
 
 private:
-    std::size_t m_mostBytes;
+    std::size_t m_maxBytes;
     std::size_t m_bytes = 0;
     boost::unordered_flat_map<FlowKey, std::vector<Held>> m_held;
 };
--- a/src/core/direct/waiting_segments.h
+++ b/src/core/direct/waiting_segments.h
@@ -39,7 +39,7 @@
     [[nodiscard]] std::deque<Waiting> take(TimePoint now)
     {
         std::deque<Waiting> out = std::exchange(m_waiting, {});
-        while (!out.empty() && now - out.front().since > LongestWait)
+        while (!out.empty() && now - out.front().since > MaxWait)
             out.pop_front();
         return out;
     }
@@ -50,7 +50,7 @@
     /// Segments of at most 1.2 KB each: 1.2 MB.
     static constexpr std::size_t Capacity = 1024;
     /// Callers that open a flow give up after this.
-    static constexpr Duration LongestWait = 1400ms;
+    static constexpr Duration MaxWait = 1400ms;
 
     std::deque<Waiting> m_waiting;
 };
