--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -21,9 +21,9 @@
 /// store was away or has dropped its watches.
 constexpr Duration EvacuationsWatch = 30s;
 
-[[nodiscard]] FeedSettings feedSettings(FeedSettings settings, Vouching vouching) noexcept
+[[nodiscard]] FeedSettings feedSettings(FeedSettings settings, Confirmation confirmation) noexcept
 {
-    if (vouching == Vouching::Watched)
+    if (confirmation == Confirmation::ByWatch)
         settings.watchWait = std::max(settings.watchWait, EvacuationsWatch);
     return settings;
 }
@@ -31,13 +31,14 @@
 } // namespace
 
 DirectNode::Collection::Collection(DirectNode &node, std::string_view shortName,
-                                   std::string_view keyPrefix, Apply applyChange, Vouching vouching)
+                                   std::string_view keyPrefix, Apply applyChange,
+                                   Confirmation confirmation)
     : name(shortName)
     , prefix(keyPrefix)
     , apply(applyChange)
-    , copy(vouching)
+    , copy(confirmation)
     , store(
-          prefix, feedSettings(node.m_settings.store, vouching), node.m_callbacks.feed,
+          prefix, feedSettings(node.m_settings.store, confirmation), node.m_callbacks.feed,
           node.m_random, copy,
           [this, &node](const CollectionChange &change) {
               (node.*apply)(change);
@@ -61,7 +62,7 @@
     , m_routes(*this, "routes", RoutesPrefix, &DirectNode::applyRoutes)
     , m_targets(*this, "targets", TargetsPrefix, &DirectNode::applyTargets)
     , m_evacuations(*this, "evacuations", EvacuationsPrefix, &DirectNode::applyEvacuations,
-                    Vouching::Watched)
+                    Confirmation::ByWatch)
     , m_peers(m_settings.peers, m_identity, peerPorts(), m_random,
               {shared(m_routes), shared(m_targets), shared(m_evacuations)}, peerHandlers())
 {
@@ -109,7 +110,7 @@
         if (alive.expired())
             return;
         m_router.expire(m_callbacks.feed.now(),
-                        {m_targets.copy.confirmedAt(), m_targets.copy.returnedAt()});
+                        {m_targets.copy.confirmedAt(), m_targets.copy.storeReturnedAt()});
         startProbes();
         m_relay.expire();
         finishHeld();
@@ -213,7 +214,7 @@
 {
     notice(ProcessStalled{gap});
     for (Collection *collection : all()) {
-        collection->copy.doubt();
+        collection->copy.markUnconfirmed();
         collection->copy.interrupted(m_callbacks.feed.now()); // It may have been away meanwhile.
     }
     startFeeds();
@@ -272,7 +273,7 @@
 
 std::optional<Duration> DirectNode::sinceStoreReturn() const
 {
-    const auto returned = m_targets.copy.returnedAt();
+    const auto returned = m_targets.copy.storeReturnedAt();
     return returned ? std::optional{m_callbacks.feed.now() - *returned} : std::nullopt;
 }
 
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -194,7 +194,7 @@
     {
         using Apply = void (DirectNode::*)(const CollectionChange &);
         Collection(DirectNode &node, std::string_view shortName, std::string_view prefix,
-                   Apply apply, Vouching vouching = Vouching::Dated);
+                   Apply apply, Confirmation confirmation = Confirmation::ByAge);
 
         std::string_view name;
         std::string prefix;
--- a/src/core/directory/collection_copy.cpp
+++ b/src/core/directory/collection_copy.cpp
@@ -58,7 +58,7 @@
     return first || changed ? std::optional{change} : std::nullopt;
 }
 
-std::optional<CollectionChange> CollectionCopy::takeChanges(const CollectionChange &changes)
+std::optional<CollectionChange> CollectionCopy::applyChanges(const CollectionChange &changes)
 {
     if (changes.version < m_version)
         return std::nullopt;
@@ -174,7 +174,7 @@
         m_returnedAt = when;
 }
 
-void CollectionCopy::heardOfReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept
+void CollectionCopy::noteStoreReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept
 {
     if (m_interruptedAt && *m_interruptedAt < asOf)
         m_interruptedAt.reset();
--- a/src/core/directory/collection_copy.h
+++ b/src/core/directory/collection_copy.h
@@ -28,13 +28,13 @@
 };
 
 /// \brief What shows that a copy is the store's state.
-enum class Vouching {
+enum class Confirmation {
     /// The last time that the store confirmed it: its age counts.
-    Dated,
+    ByAge,
     /// A watch that waits at the store: for a collection that hardly ever changes, where an answer
     /// each second would cost more calls than all changes. Its age does not count; whoever is
     /// confirmed in the others has the news of this one too.
-    Watched,
+    ByWatch,
 };
 
 /// \brief A copy of one collection of the store's objects.
@@ -44,25 +44,28 @@
 class CollectionCopy
 {
 public:
-    explicit CollectionCopy(Vouching vouching = Vouching::Dated) noexcept
-        : m_vouching(vouching)
+    explicit CollectionCopy(Confirmation confirmation = Confirmation::ByAge) noexcept
+        : m_confirmation(confirmation)
     {
     }
 
     /// \return Whether its age says how far it can be relied on.
-    [[nodiscard]] bool isDated() const noexcept { return m_vouching == Vouching::Dated; }
+    [[nodiscard]] bool confirmedByAge() const noexcept
+    {
+        return m_confirmation == Confirmation::ByAge;
+    }
 
     /// \brief Takes a complete state.
     /// \return What it changed; nothing where it is older than the copy, or the same.
     std::optional<CollectionChange> takeAll(const std::vector<StoredObject> &objects,
                                             ObjectVersion version, bool afterOutage);
     /// \brief Takes what changed since a version that the copy has.
-    std::optional<CollectionChange> takeChanges(const CollectionChange &changes);
+    std::optional<CollectionChange> applyChanges(const CollectionChange &changes);
 
     /// \brief The store confirmed that its state at this time was the copy's.
     void confirm(TimePoint when) noexcept;
     /// \brief The copy may be out of date, until it is confirmed again.
-    void doubt() noexcept { m_confirmedAt.reset(); }
+    void markUnconfirmed() noexcept { m_confirmedAt.reset(); }
 
     /// \brief The store gave no answer: it may be away.
     void interrupted(TimePoint when) noexcept { m_interruptedAt = when; }
@@ -70,10 +73,10 @@
     void reached(TimePoint when) noexcept;
     /// \brief Another daemon says when the store came back. \param returned Nothing where that was
     /// long ago, or never. \param asOf When the store last answered there.
-    void heardOfReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept;
+    void noteStoreReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept;
     /// \return When the store came back the last time, as far as is known; nothing where it was
     /// never seen to be away.
-    [[nodiscard]] std::optional<TimePoint> returnedAt() const noexcept { return m_returnedAt; }
+    [[nodiscard]] std::optional<TimePoint> storeReturnedAt() const noexcept { return m_returnedAt; }
 
     /// \return Whether a complete state has been taken.
     [[nodiscard]] bool complete() const noexcept { return !m_version.isNull(); }
@@ -107,7 +110,7 @@
     void remember(const CollectionChange &change);
     void keepOld(StoredObject object);
 
-    Vouching m_vouching;
+    Confirmation m_confirmation;
     std::map<std::string, StoredObject> m_objects;
     std::uint64_t m_bytes = 0; ///< Of their values.
     ObjectVersion m_version;
--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -42,7 +42,7 @@
 {
     std::optional<TimePoint> oldest;
     for (const SharedCollection &each : m_collections) {
-        if (!each.copy->isDated())
+        if (!each.copy->confirmedByAge())
             continue;
         const auto confirmed = each.copy->confirmedAt();
         if (!confirmed)
@@ -56,7 +56,7 @@
 {
     std::optional<ObjectVersion> oldest;
     for (const SharedCollection &each : m_collections) {
-        if (each.copy->isDated())
+        if (each.copy->confirmedByAge())
             oldest = std::min(oldest.value_or(each.copy->version()), each.copy->version());
     }
     return oldest.value_or(ObjectVersion{});
@@ -79,13 +79,13 @@
     return true;
 }
 
-void PeerCopies::hearOfReturn(const PeerAnswer &answer, TimePoint now) const
+void PeerCopies::noteStoreReturn(const PeerAnswer &answer, TimePoint now) const
 {
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
         std::optional<TimePoint> returned;
         if (const auto since = answer.collections[index].sinceReturn)
             returned = now - *since;
-        m_collections[index].copy->heardOfReturn(returned, now - answer.age);
+        m_collections[index].copy->noteStoreReturn(returned, now - answer.age);
     }
 }
 
@@ -95,7 +95,7 @@
     const bool ownIsFresh = confirmed && now - *confirmed <= staleAfter;
     AnswerTaken taken;
     bool behind = false;
-    hearOfReturn(answer, now);
+    noteStoreReturn(answer, now);
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
         const SharedCollection &collection = m_collections[index];
         const CollectionDelta &delta = answer.collections[index].delta;
@@ -103,12 +103,12 @@
         if (news.version < collection.copy->version()) {
             // The version of a watched copy grows with its changes only: a peer whose version is
             // older lacks nothing as a rule, and what it lacks is on its way there.
-            behind = behind || collection.copy->isDated();
+            behind = behind || collection.copy->confirmedByAge();
             continue;
         }
         const auto change = delta.complete ? collection.copy->takeAll(news.written, news.version,
                                                                       news.afterOutage)
-                                           : collection.copy->takeChanges(news);
+                                           : collection.copy->applyChanges(news);
         if (!change)
             continue;
         taken.changed = true;
--- a/src/core/directory/peer_copies.h
+++ b/src/core/directory/peer_copies.h
@@ -51,7 +51,7 @@
 
 private:
     /// \brief Takes what the answer says of the store's having been away.
-    void hearOfReturn(const PeerAnswer &answer, TimePoint now) const;
+    void noteStoreReturn(const PeerAnswer &answer, TimePoint now) const;
 
     std::vector<SharedCollection> m_collections;
 };
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -214,7 +214,7 @@
     const bool confirmed = std::exchange(m_confirms, false);
     const bool changed = !list->objects.empty() || !list->removed.empty();
     const ObjectVersion version = std::max(list->latest, m_copy.version());
-    if (const auto change = m_copy.takeChanges(
+    if (const auto change = m_copy.applyChanges(
             {std::move(list->objects), std::move(list->removed), version, justBack()}))
         m_changed(*change);
     m_copy.confirm(m_ports.now());
@@ -245,7 +245,7 @@
 
 bool StoreFeed::justBack() const
 {
-    const auto returned = m_copy.returnedAt();
+    const auto returned = m_copy.storeReturnedAt();
     return returned && m_ports.now() - *returned < m_settings.returnGrace;
 }
 
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -38,7 +38,7 @@
 {
     Duration oldest{0};
     for (const CollectionQuestion &each : question.collections) {
-        if (!m_copies.at(each.prefix)->isDated())
+        if (!m_copies.at(each.prefix)->confirmedByAge())
             continue;
         const auto confirmed = m_copies.at(each.prefix)->confirmedAt();
         if (!confirmed)
@@ -50,7 +50,7 @@
 
 std::optional<Duration> ViewRelay::sinceReturn(const CollectionCopy &copy) const
 {
-    const auto returned = copy.returnedAt();
+    const auto returned = copy.storeReturnedAt();
     if (!returned || m_ports.now() - *returned > ReturnIsNews)
         return std::nullopt;
     return m_ports.now() - *returned;
--- a/tests/directory/copy_test.cpp
+++ b/tests/directory/copy_test.cpp
@@ -18,7 +18,7 @@
     CollectionCopy copy;
     cr_assert(copy.takeAll({object("a", 3), object("b", 4)}, ObjectVersion{5}, false));
     cr_assert(!copy.takeAll({object("a", 2)}, ObjectVersion{4}, false));
-    cr_assert(!copy.takeChanges({{}, {"b"}, ObjectVersion{4}, false}));
+    cr_assert(!copy.applyChanges({{}, {"b"}, ObjectVersion{4}, false}));
     cr_assert_eq(copy.size(), 2);
     cr_assert(copy.version() == ObjectVersion{5});
 }
@@ -45,7 +45,7 @@
 
     CollectionCopy watched;
     (void)watched.takeAll({object("b", 1)}, ObjectVersion{2}, false);
-    cr_assert(!watched.takeChanges({{}, {"a"}, ObjectVersion{38}, false}));
+    cr_assert(!watched.applyChanges({{}, {"a"}, ObjectVersion{38}, false}));
     const CollectionDelta delta = watched.since(ObjectVersion{5});
     cr_assert(!delta.complete && delta.change.removed == std::vector<std::string>{"a"});
     cr_assert(watched.changedSince(ObjectVersion{5}));
@@ -58,8 +58,8 @@
     CollectionCopy copy;
     (void)copy.takeAll({object("a", 3)}, ObjectVersion{5}, false);
     for (std::uint64_t version = 6; version < 10; ++version)
-        (void)copy.takeChanges({{object("b", version)}, {}, ObjectVersion{version}, false});
-    (void)copy.takeChanges({{}, {"a"}, ObjectVersion{10}, false});
+        (void)copy.applyChanges({{object("b", version)}, {}, ObjectVersion{version}, false});
+    (void)copy.applyChanges({{}, {"a"}, ObjectVersion{10}, false});
     const CollectionDelta delta = copy.since(ObjectVersion{7});
     cr_assert(!delta.complete && delta.change.version == ObjectVersion{10});
     cr_assert(delta.change.written.size() == 1 && delta.change.written.front().value == "v9");
@@ -67,7 +67,7 @@
     cr_assert(copy.since(ObjectVersion{4}).complete);
     cr_assert(copy.since(ObjectVersion{10}).change.written.empty());
     for (std::uint64_t version = 11; version < 1000; ++version)
-        (void)copy.takeChanges({{object("b", version)}, {}, ObjectVersion{version}, false});
+        (void)copy.applyChanges({{object("b", version)}, {}, ObjectVersion{version}, false});
     cr_assert(copy.since(ObjectVersion{11}).complete);
     cr_assert(!copy.since(ObjectVersion{900}).complete);
 }
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -160,7 +160,7 @@
     CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
     (void)source.takeAll({object(600, 20)}, ObjectVersion{200}, false);
     CollectionCopy held = copyOf({object(500, 10), object(600, 20)});
-    (void)held.takeChanges({{}, {}, ObjectVersion{150}});
+    (void)held.applyChanges({{}, {}, ObjectVersion{150}});
     AskedRoutes daemon{std::move(held)};
     const PeerAnswer answer = answerOf(source, 150, true);
     cr_assert(answer.collections.at(0).delta.complete);
