--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -215,7 +215,7 @@
     notice(ProcessStalled{gap});
     for (Collection *collection : all()) {
         collection->copy.markUnconfirmed();
-        collection->copy.interrupted(m_callbacks.feed.now()); // It may have been away meanwhile.
+        collection->copy.storeFailed(m_callbacks.feed.now()); // It may have been away meanwhile.
     }
     startFeeds();
 }
--- a/src/core/directory/collection_copy.cpp
+++ b/src/core/directory/collection_copy.cpp
@@ -19,8 +19,9 @@
 
 } // namespace
 
-std::optional<CollectionChange> CollectionCopy::takeAll(const std::vector<StoredObject> &objects,
-                                                        ObjectVersion version, bool afterOutage)
+std::optional<CollectionChange>
+CollectionCopy::applySnapshot(const std::vector<StoredObject> &objects, ObjectVersion version,
+                              bool afterOutage)
 {
     if (version < m_version)
         return std::nullopt;
@@ -168,7 +169,7 @@
     m_confirmedAt = std::max(m_confirmedAt.value_or(when), when);
 }
 
-void CollectionCopy::reached(TimePoint when) noexcept
+void CollectionCopy::storeAnswered(TimePoint when) noexcept
 {
     if (std::exchange(m_interruptedAt, std::nullopt))
         m_returnedAt = when;
--- a/src/core/directory/collection_copy.h
+++ b/src/core/directory/collection_copy.h
@@ -57,8 +57,8 @@
 
     /// \brief Takes a complete state.
     /// \return What it changed; nothing where it is older than the copy, or the same.
-    std::optional<CollectionChange> takeAll(const std::vector<StoredObject> &objects,
-                                            ObjectVersion version, bool afterOutage);
+    std::optional<CollectionChange> applySnapshot(const std::vector<StoredObject> &objects,
+                                                  ObjectVersion version, bool afterOutage);
     /// \brief Takes what changed since a version that the copy has.
     std::optional<CollectionChange> applyChanges(const CollectionChange &changes);
 
@@ -68,9 +68,9 @@
     void markUnconfirmed() noexcept { m_confirmedAt.reset(); }
 
     /// \brief The store gave no answer: it may be away.
-    void interrupted(TimePoint when) noexcept { m_interruptedAt = when; }
+    void storeFailed(TimePoint when) noexcept { m_interruptedAt = when; }
     /// \brief The store has answered.
-    void reached(TimePoint when) noexcept;
+    void storeAnswered(TimePoint when) noexcept;
     /// \brief Another daemon says when the store came back. \param returned Nothing where that was
     /// long ago, or never. \param asOf When the store last answered there.
     void noteStoreReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept;
--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -106,9 +106,10 @@
             behind = behind || collection.copy->confirmedByAge();
             continue;
         }
-        const auto change = delta.complete ? collection.copy->takeAll(news.written, news.version,
-                                                                      news.afterOutage)
-                                           : collection.copy->applyChanges(news);
+        const auto change
+            = delta.complete
+                  ? collection.copy->applySnapshot(news.written, news.version, news.afterOutage)
+                  : collection.copy->applyChanges(news);
         if (!change)
             continue;
         taken.changed = true;
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -170,7 +170,7 @@
         return;
     }
     m_confirms = false;
-    if (const auto change = m_copy.takeAll(listed, m_pagesVersion, justBack()))
+    if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, justBack()))
         m_changed(*change);
     m_copy.confirm(asked);
     m_contact(FeedContact{});
@@ -228,7 +228,7 @@
 
 void StoreFeed::failed(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)())
 {
-    m_copy.interrupted(m_ports.now());
+    m_copy.storeFailed(m_ports.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
     const bool listing = std::exchange(m_pageCame, false);
     m_contact(
@@ -240,7 +240,7 @@
 void StoreFeed::succeeded()
 {
     m_backoff.reset();
-    m_copy.reached(m_ports.now());
+    m_copy.storeAnswered(m_ports.now());
 }
 
 bool StoreFeed::justBack() const
--- a/tests/directory/copy_test.cpp
+++ b/tests/directory/copy_test.cpp
@@ -16,8 +16,8 @@
 Test(copy, anOlderStateChangesNothing)
 {
     CollectionCopy copy;
-    cr_assert(copy.takeAll({object("a", 3), object("b", 4)}, ObjectVersion{5}, false));
-    cr_assert(!copy.takeAll({object("a", 2)}, ObjectVersion{4}, false));
+    cr_assert(copy.applySnapshot({object("a", 3), object("b", 4)}, ObjectVersion{5}, false));
+    cr_assert(!copy.applySnapshot({object("a", 2)}, ObjectVersion{4}, false));
     cr_assert(!copy.applyChanges({{}, {"b"}, ObjectVersion{4}, false}));
     cr_assert_eq(copy.size(), 2);
     cr_assert(copy.version() == ObjectVersion{5});
@@ -26,8 +26,9 @@
 Test(copy, whatIsMissingFromAStateIsRemoved)
 {
     CollectionCopy copy;
-    (void)copy.takeAll({object("a", 3), object("b", 4)}, ObjectVersion{5}, false);
-    const auto change = copy.takeAll({object("b", 4), object("c", 6)}, ObjectVersion{6}, true);
+    (void)copy.applySnapshot({object("a", 3), object("b", 4)}, ObjectVersion{5}, false);
+    const auto change
+        = copy.applySnapshot({object("b", 4), object("c", 6)}, ObjectVersion{6}, true);
     cr_assert(change && change->afterOutage);
     cr_assert(change->written.size() == 1 && change->written.front().key == "c");
     cr_assert(change->removed == std::vector<std::string>{"a"});
@@ -39,12 +40,12 @@
 Test(copy, aPeerFromInBetweenLosesWhatCameAndWent)
 {
     CollectionCopy listed;
-    (void)listed.takeAll({}, ObjectVersion{2}, false);
-    (void)listed.takeAll({object("b", 30)}, ObjectVersion{38}, false);
+    (void)listed.applySnapshot({}, ObjectVersion{2}, false);
+    (void)listed.applySnapshot({object("b", 30)}, ObjectVersion{38}, false);
     cr_assert(listed.since(ObjectVersion{5}).complete);
 
     CollectionCopy watched;
-    (void)watched.takeAll({object("b", 1)}, ObjectVersion{2}, false);
+    (void)watched.applySnapshot({object("b", 1)}, ObjectVersion{2}, false);
     cr_assert(!watched.applyChanges({{}, {"a"}, ObjectVersion{38}, false}));
     const CollectionDelta delta = watched.since(ObjectVersion{5});
     cr_assert(!delta.complete && delta.change.removed == std::vector<std::string>{"a"});
@@ -56,7 +57,7 @@
 Test(copy, aPeerGetsWhatItLacks)
 {
     CollectionCopy copy;
-    (void)copy.takeAll({object("a", 3)}, ObjectVersion{5}, false);
+    (void)copy.applySnapshot({object("a", 3)}, ObjectVersion{5}, false);
     for (std::uint64_t version = 6; version < 10; ++version)
         (void)copy.applyChanges({{object("b", version)}, {}, ObjectVersion{version}, false});
     (void)copy.applyChanges({{}, {"a"}, ObjectVersion{10}, false});
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -73,8 +73,8 @@
     /// \brief The store's list comes, with one target.
     void list(std::uint64_t version)
     {
-        (void)copy.takeAll({{"targets/1", "ready", ObjectVersion{version}}}, ObjectVersion{version},
-                           false);
+        (void)copy.applySnapshot({{"targets/1", "ready", ObjectVersion{version}}},
+                                 ObjectVersion{version}, false);
         copy.confirm(now);
     }
 
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -31,7 +31,7 @@
 {
     CollectionCopy copy;
     for (const StoredObject &each : versions)
-        (void)copy.takeAll({each}, each.version, false);
+        (void)copy.applySnapshot({each}, each.version, false);
     return copy;
 }
 
@@ -158,7 +158,7 @@
 Test(patchCache, aLargeValueThatDidNotChangeIsKept)
 {
     CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
-    (void)source.takeAll({object(600, 20)}, ObjectVersion{200}, false);
+    (void)source.applySnapshot({object(600, 20)}, ObjectVersion{200}, false);
     CollectionCopy held = copyOf({object(500, 10), object(600, 20)});
     (void)held.applyChanges({{}, {}, ObjectVersion{150}});
     AskedRoutes daemon{std::move(held)};
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -22,7 +22,8 @@
 
     RootOfD0()
     {
-        (void)copy.takeAll({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3}, false);
+        (void)copy.applySnapshot({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3},
+                                 false);
         copy.confirm(now);
         relay.add("targets/", copy);
     }
@@ -118,7 +119,8 @@
     root.ask(daemonAt(4), 0, replies);
     cr_assert_eq(replies.size(), 1);
     cr_assert(!replies.front()->redirect.empty() && replies.front()->blank);
-    (void)root.copy.takeAll({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3}, false);
+    (void)root.copy.applySnapshot({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3},
+                                  false);
     root.copy.confirm(root.now);
     root.relay.changed();
     cr_assert_eq(replies.size(), 5);
