--- a/src/core/directory/collection_copy.cpp
+++ b/src/core/directory/collection_copy.cpp
@@ -12,10 +12,10 @@
 
 /// Steps that are remembered for copies that lag behind: a minute of a busy day. One that lags
 /// further gets everything.
-constexpr std::size_t MostSteps = 256;
+constexpr std::size_t MaxLoggedChanges = 256;
 /// Old values that are kept for patches, in bytes: two of the largest that the store holds. A
 /// follower that lags further gets the whole value.
-constexpr std::size_t MostOldBytes = 2 << 20;
+constexpr std::size_t MaxReplacedBytes = 2 << 20;
 
 } // namespace
 
@@ -36,7 +36,7 @@
         if (known == m_objects.end() || known->second.version != object.version) {
             change.written.push_back(object);
             if (known != m_objects.end())
-                keepOld(std::move(known->second));
+                retainReplaced(std::move(known->second));
         }
         next.emplace(object.key, object);
     }
@@ -52,10 +52,10 @@
         m_changedAt = version;
     // What came and went between the two states is not known here. A copy of a version in between
     // may hold a target that has long left, and only everything tells it so.
-    m_steps.clear();
-    m_remembersFrom = version;
+    m_changeLog.clear();
+    m_changeLogStart = version;
     // Nor is it known after a start whether the store was away before.
-    m_wholeAfterOutage = afterOutage || first;
+    m_snapshotAfterOutage = afterOutage || first;
     return first || changed ? std::optional{change} : std::nullopt;
 }
 
@@ -71,7 +71,7 @@
         if (known.version >= object.version)
             continue;
         m_bytes += object.value.size() - known.value.size();
-        keepOld(std::move(known));
+        retainReplaced(std::move(known));
         known = object;
         change.written.push_back(object);
     }
@@ -87,41 +87,41 @@
     // An object that came and went within these changes was never here, but may be in a copy of a
     // version in between: that it is gone has to be told all the same.
     if (!change.written.empty() || !changes.removed.empty())
-        remember({change.written, changes.removed, change.version, change.afterOutage});
+        recordChange({change.written, changes.removed, change.version, change.afterOutage});
     if (change.written.empty() && change.removed.empty())
         return std::nullopt;
     return change;
 }
 
-void CollectionCopy::remember(const CollectionChange &change)
+void CollectionCopy::recordChange(const CollectionChange &change)
 {
-    Step step{change.version, change.removed, change.afterOutage};
+    LoggedChange step{change.version, change.removed, change.afterOutage};
     for (const StoredObject &object : change.written)
         step.keys.push_back(object.key);
     m_changedAt = change.version;
-    m_steps.push_back(std::move(step));
-    if (m_steps.size() <= MostSteps)
+    m_changeLog.push_back(std::move(step));
+    if (m_changeLog.size() <= MaxLoggedChanges)
         return;
-    m_remembersFrom = m_steps.front().version;
-    m_steps.pop_front();
+    m_changeLogStart = m_changeLog.front().version;
+    m_changeLog.pop_front();
 }
 
 CollectionDelta CollectionCopy::since(ObjectVersion version) const
 {
     CollectionDelta delta;
     delta.change.version = m_version;
-    if (version < m_remembersFrom) {
+    if (version < m_changeLogStart) {
         delta.complete = true;
         delta.change.afterOutage
-            = m_wholeAfterOutage
-              || std::any_of(m_steps.begin(), m_steps.end(),
-                             [](const Step &step) { return step.afterOutage; });
+            = m_snapshotAfterOutage
+              || std::any_of(m_changeLog.begin(), m_changeLog.end(),
+                             [](const LoggedChange &step) { return step.afterOutage; });
         for (const auto &[key, object] : m_objects)
             delta.change.written.push_back(object);
         return delta;
     }
     std::set<std::string> keys;
-    for (const Step &step : m_steps) {
+    for (const LoggedChange &step : m_changeLog) {
         if (step.version <= version)
             continue;
         keys.insert(step.keys.begin(), step.keys.end());
@@ -137,25 +137,25 @@
     return delta;
 }
 
-void CollectionCopy::keepOld(StoredObject object)
+void CollectionCopy::retainReplaced(StoredObject object)
 {
     if (object.value.size() < LeastPatchedBytes)
         return;
-    m_oldBytes += object.value.size();
-    m_old.push_back(std::move(object));
-    while (m_oldBytes > MostOldBytes) {
-        m_oldBytes -= m_old.front().value.size();
-        m_old.pop_front();
+    m_replacedBytes += object.value.size();
+    m_replaced.push_back(std::move(object));
+    while (m_replacedBytes > MaxReplacedBytes) {
+        m_replacedBytes -= m_replaced.front().value.size();
+        m_replaced.pop_front();
     }
 }
 
 const StoredObject *CollectionCopy::valueAt(const std::string &key, ObjectVersion version) const
 {
     const auto newestFirst
-        = std::find_if(m_old.rbegin(), m_old.rend(), [&](const StoredObject &old) {
+        = std::find_if(m_replaced.rbegin(), m_replaced.rend(), [&](const StoredObject &old) {
               return old.key == key && old.version <= version;
           });
-    return newestFirst == m_old.rend() ? nullptr : &*newestFirst;
+    return newestFirst == m_replaced.rend() ? nullptr : &*newestFirst;
 }
 
 const StoredObject *CollectionCopy::find(const std::string &key) const
@@ -171,16 +171,16 @@
 
 void CollectionCopy::storeAnswered(TimePoint when) noexcept
 {
-    if (std::exchange(m_interruptedAt, std::nullopt))
-        m_returnedAt = when;
+    if (std::exchange(m_storeFailedAt, std::nullopt))
+        m_storeReturnedAt = when;
 }
 
 void CollectionCopy::noteStoreReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept
 {
-    if (m_interruptedAt && *m_interruptedAt < asOf)
-        m_interruptedAt.reset();
+    if (m_storeFailedAt && *m_storeFailedAt < asOf)
+        m_storeFailedAt.reset();
     if (returned)
-        m_returnedAt = std::max(m_returnedAt.value_or(*returned), *returned);
+        m_storeReturnedAt = std::max(m_storeReturnedAt.value_or(*returned), *returned);
 }
 
 } // namespace baobabtrail
--- a/src/core/directory/collection_copy.h
+++ b/src/core/directory/collection_copy.h
@@ -68,7 +68,7 @@
     void markUnconfirmed() noexcept { m_confirmedAt.reset(); }
 
     /// \brief The store gave no answer: it may be away.
-    void storeFailed(TimePoint when) noexcept { m_interruptedAt = when; }
+    void storeFailed(TimePoint when) noexcept { m_storeFailedAt = when; }
     /// \brief The store has answered.
     void storeAnswered(TimePoint when) noexcept;
     /// \brief Another daemon says when the store came back. \param returned Nothing where that was
@@ -76,7 +76,10 @@
     void noteStoreReturn(std::optional<TimePoint> returned, TimePoint asOf) noexcept;
     /// \return When the store came back the last time, as far as is known; nothing where it was
     /// never seen to be away.
-    [[nodiscard]] std::optional<TimePoint> storeReturnedAt() const noexcept { return m_returnedAt; }
+    [[nodiscard]] std::optional<TimePoint> storeReturnedAt() const noexcept
+    {
+        return m_storeReturnedAt;
+    }
 
     /// \return Whether a complete state has been taken.
     [[nodiscard]] bool complete() const noexcept { return !m_version.isNull(); }
@@ -100,29 +103,29 @@
     }
 
 private:
-    struct Step
+    struct LoggedChange
     {
         ObjectVersion version;
         std::vector<std::string> keys; ///< Written or removed.
         bool afterOutage = false;
     };
 
-    void remember(const CollectionChange &change);
-    void keepOld(StoredObject object);
+    void recordChange(const CollectionChange &change);
+    void retainReplaced(StoredObject object);
 
     Confirmation m_confirmation;
     std::map<std::string, StoredObject> m_objects;
     std::uint64_t m_bytes = 0; ///< Of their values.
     ObjectVersion m_version;
-    ObjectVersion m_changedAt;       ///< Of the newest change.
-    ObjectVersion m_remembersFrom;   ///< Changes behind this version are in \a m_steps.
-    bool m_wholeAfterOutage = false; ///< What is missing since before that may only have lapsed.
-    std::deque<Step> m_steps;
-    std::deque<StoredObject> m_old; ///< Large values that were replaced, the newest last.
-    std::size_t m_oldBytes = 0;     ///< Of these.
+    ObjectVersion m_changedAt;          ///< Of the newest change.
+    ObjectVersion m_changeLogStart;     ///< Changes behind this version are in \a m_changeLog.
+    bool m_snapshotAfterOutage = false; ///< What is missing since before that may only have lapsed.
+    std::deque<LoggedChange> m_changeLog;
+    std::deque<StoredObject> m_replaced; ///< Large values that were replaced, the newest last.
+    std::size_t m_replacedBytes = 0;     ///< Of these.
     std::optional<TimePoint> m_confirmedAt;
-    std::optional<TimePoint> m_returnedAt;
-    std::optional<TimePoint> m_interruptedAt; ///< The store has not been reached since then.
+    std::optional<TimePoint> m_storeReturnedAt;
+    std::optional<TimePoint> m_storeFailedAt; ///< The store has not been reached since then.
 };
 
 } // namespace baobabtrail
