--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -199,7 +199,7 @@
     });
 }
 
-void DirectNode::handle(const PeerQuestion &question, ViewRelay::Reply reply)
+void DirectNode::handle(const PeerQuery &question, ViewRelay::Reply reply)
 {
     m_relay.ask(question, std::move(reply));
 }
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -65,7 +65,7 @@
 /// \brief A question to another daemon has ended.
 struct PeerQueryEnded
 {
-    const QuestionEnd &end;
+    const QueryReport &end;
 };
 /// \brief The store has dropped the changes that a watch waited for; everything is listed anew.
 struct HistoryLost
@@ -151,7 +151,7 @@
     [[nodiscard]] std::optional<SegmentVerdict> handle(const Segment &segment,
                                                        std::string_view payload);
     /// \brief Answers another daemon. \param reply Called once, at once or later.
-    void handle(const PeerQuestion &question, ViewRelay::Reply reply);
+    void handle(const PeerQuery &question, ViewRelay::Reply reply);
 
     /// \brief The process is about to end: what is held goes on, and nothing is held any more.
     void stopHolding();
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -141,7 +141,7 @@
 PeerPorts DirectNode::peerPorts()
 {
     PeerPorts ports = m_callbacks.peers;
-    ports.ended = [this](const QuestionEnd &end) { notice(PeerQueryEnded{end}); };
+    ports.ended = [this](const QueryReport &end) { notice(PeerQueryEnded{end}); };
     return ports;
 }
 
--- a/src/core/directory/collection_copy.cpp
+++ b/src/core/directory/collection_copy.cpp
@@ -139,7 +139,7 @@
 
 void CollectionCopy::retainReplaced(StoredObject object)
 {
-    if (object.value.size() < LeastPatchedBytes)
+    if (object.value.size() < MinPatchedBytes)
         return;
     m_replacedBytes += object.value.size();
     m_replaced.push_back(std::move(object));
--- a/src/core/directory/patch_cache.cpp
+++ b/src/core/directory/patch_cache.cpp
@@ -32,7 +32,7 @@
                                               const StoredObject &object, ObjectVersion after)
 {
     // One that is no newer comes in a complete answer: nobody is told which value it replaced.
-    if (object.value.size() < LeastPatchedBytes || object.version <= after)
+    if (object.value.size() < MinPatchedBytes || object.version <= after)
         return std::nullopt;
     const StoredObject *base = copy.valueAt(object.key, after);
     if (!base)
--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -62,9 +62,9 @@
     return oldest.value_or(ObjectVersion{});
 }
 
-std::vector<CollectionQuestion> PeerCopies::question() const
+std::vector<CollectionQuery> PeerCopies::question() const
 {
-    std::vector<CollectionQuestion> out;
+    std::vector<CollectionQuery> out;
     for (const SharedCollection &each : m_collections)
         out.push_back({each.prefix, each.copy->version()});
     return out;
--- a/src/core/directory/peer_copies.h
+++ b/src/core/directory/peer_copies.h
@@ -40,7 +40,7 @@
     [[nodiscard]] std::optional<TimePoint> confirmedAt() const;
     /// \return The oldest version of those that are dated.
     [[nodiscard]] ObjectVersion version() const;
-    [[nodiscard]] std::vector<CollectionQuestion> question() const;
+    [[nodiscard]] std::vector<CollectionQuery> question() const;
 
     /// \brief Makes whole objects of the patches of an answer. \return False where one does not fit
     /// the copy that it is for.
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -113,7 +113,7 @@
     return blank() ? m_settings.blankWait : longestWait();
 }
 
-AskLimits PeerFeed::limitsOf(Duration wait) const
+QueryTimeouts PeerFeed::timeoutsFor(Duration wait) const
 {
     const Duration begin = wait + (blank() ? m_settings.copyTimeout : m_settings.timeout);
     return {m_settings.connectTimeout, begin, wait + m_settings.longestAnswer};
@@ -135,9 +135,9 @@
     later(m_backoff.next(m_random, Duration{0}));
 }
 
-PeerQuestion PeerFeed::question(Question kind, const Endpoint &source) const
+PeerQuery PeerFeed::question(Question kind, const Endpoint &source) const
 {
-    PeerQuestion question;
+    PeerQuery question;
     question.look = kind == Question::Look;
     question.collections = m_copies.question();
     question.patches = m_takesPatches;
@@ -153,15 +153,15 @@
 
 void PeerFeed::askAt(const Endpoint &source, Question kind)
 {
-    const PeerQuestion asked = question(kind, source);
-    const QuestionEnd end{source, m_copies.version(), asked.wait};
-    m_ports.ask(source, asked, limitsOf(asked.wait),
+    const PeerQuery asked = question(kind, source);
+    const QueryReport end{source, m_copies.version(), asked.wait};
+    m_ports.ask(source, asked, timeoutsFor(asked.wait),
                 [this, end, askedAt = m_ports.now(), kind, run = std::weak_ptr{m_run},
                  mine = *m_run](PeerResult result) {
                     const auto current = run.lock();
                     if (!current || *current != mine)
                         return;
-                    QuestionEnd ended = end;
+                    QueryReport ended = end;
                     ended.took = m_ports.now() - askedAt;
                     ended.bytes = result.bytes;
                     onResult(std::move(ended), kind, std::move(result));
@@ -181,7 +181,7 @@
 {
     for (const Endpoint &root : m_sources.roots()) {
         if (root != m_source)
-            m_ports.ask(root, question(Question::Look, root), limitsOf(Duration{0}),
+            m_ports.ask(root, question(Question::Look, root), timeoutsFor(Duration{0}),
                         [](const PeerResult &) {});
     }
 }
@@ -207,7 +207,7 @@
     return heard && m_ports.now() - *heard <= m_settings.unlinkedAfter;
 }
 
-void PeerFeed::tell(QuestionEnd end, QuestionOutcome outcome) const
+void PeerFeed::tell(QueryReport end, QueryOutcome outcome) const
 {
     if (!m_ports.ended)
         return;
@@ -223,27 +223,27 @@
     return path.size() > MostHops ? "its copy comes over too many daemons" : "";
 }
 
-void PeerFeed::onResult(QuestionEnd end, Question kind, PeerResult result)
+void PeerFeed::onResult(QueryReport end, Question kind, PeerResult result)
 {
     const Endpoint address = end.source;
     Source *source = m_sources.find(address);
     PeerReply &reply = result.reply;
     if (!source || !reply) {
         end.why = std::move(result.why);
-        tell(std::move(end), QuestionOutcome::Unanswered);
+        tell(std::move(end), QueryOutcome::Unanswered);
         failed(address);
         return;
     }
     source->domain = reply->domain;
     if (!reply->redirect.empty()) {
-        tell(std::move(end), QuestionOutcome::Redirected);
+        tell(std::move(end), QueryOutcome::Redirected);
         redirect(*source, *reply);
         ask();
         return;
     }
     end.why = refusal(*reply);
     if (!end.why.empty()) {
-        tell(std::move(end), QuestionOutcome::Refused);
+        tell(std::move(end), QueryOutcome::Refused);
         m_staleSince = m_staleSince.value_or(m_ports.now()); // It answers, and knows no more.
         failed(address);
         return;
@@ -260,9 +260,9 @@
 
 // While the source is linked, it has a copy as soon as anybody; to leave it would bring every
 // daemon to the roots, again and again.
-void PeerFeed::onBlank(const QuestionEnd &end)
+void PeerFeed::onBlank(const QueryReport &end)
 {
-    tell(end, QuestionOutcome::Blank);
+    tell(end, QueryOutcome::Blank);
     if (!blank() || !isLinked()) {
         failed(end.source);
         return;
@@ -275,18 +275,18 @@
         askAt(end.source);
 }
 
-void PeerFeed::onAnswer(QuestionEnd end, Question kind, PeerAnswer &answer)
+void PeerFeed::onAnswer(QueryReport end, Question kind, PeerAnswer &answer)
 {
     const Endpoint address = end.source;
     if (answer.collections.size() != m_copies.question().size()) {
         end.why = "it answers for one collection at a time, as an older release";
-        tell(std::move(end), QuestionOutcome::Unanswered);
+        tell(std::move(end), QueryOutcome::Unanswered);
         failed(address);
         return;
     }
     if (!m_copies.unpack(answer)) {
         end.why = "a patch does not fit the copy; the whole value is asked for";
-        tell(std::move(end), QuestionOutcome::Misfit);
+        tell(std::move(end), QueryOutcome::Misfit);
         m_takesPatches = false;
         askAt(address, kind);
         return;
@@ -295,7 +295,7 @@
     const AnswerTaken taken = m_copies.take(answer, m_settings.staleAfter, m_ports.now());
     if (taken.changed || taken.confirmed)
         m_handlers.answered(taken.changed);
-    tell(std::move(end), taken.fresh ? QuestionOutcome::Taken : QuestionOutcome::Stale);
+    tell(std::move(end), taken.fresh ? QueryOutcome::Taken : QueryOutcome::Stale);
     Source &source = *m_sources.find(address);
     source.seated = answer.seated;
     if (!taken.fresh) {
@@ -317,7 +317,7 @@
     from.failedAt = m_ports.now();
     from.sentOnAt = from.failedAt;
     m_promised = m_promised || !answer.blank;
-    for (const NamedDaemon &named : answer.redirect) {
+    for (const PeerReferral &named : answer.redirect) {
         if (named.address != m_identity.address && !named.address.isNull())
             m_sources.add(named);
     }
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -63,10 +63,10 @@
     std::function<TimePoint()> now;
     std::function<void(Duration, std::function<void()>)> after;
     /// Asks a peer; the handler is called once, later, within \a limits.
-    std::function<void(const Endpoint &peer, const PeerQuestion &question, const AskLimits &limits,
+    std::function<void(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits,
                        std::function<void(PeerResult)>)>
         ask;
-    std::function<void(const QuestionEnd &)> ended{}; ///< Told of each question; may be empty.
+    std::function<void(const QueryReport &)> ended{}; ///< Told of each question; may be empty.
 };
 
 /// \brief Who asks.
@@ -139,18 +139,18 @@
     void judge();
     [[nodiscard]] Duration waitOf(Question kind, const Endpoint &source) const;
     [[nodiscard]] Duration longestWait() const;
-    [[nodiscard]] AskLimits limitsOf(Duration wait) const;
+    [[nodiscard]] QueryTimeouts timeoutsFor(Duration wait) const;
     void ask();
-    [[nodiscard]] PeerQuestion question(Question kind, const Endpoint &source) const;
+    [[nodiscard]] PeerQuery question(Question kind, const Endpoint &source) const;
     void askAt(const Endpoint &source, Question kind = Question::Usual);
-    void onResult(QuestionEnd end, Question kind, PeerResult result);
+    void onResult(QueryReport end, Question kind, PeerResult result);
     /// \return Why the answer is no use; empty where it is.
     [[nodiscard]] std::string refusal(const PeerAnswer &answer) const;
     /// \brief A source has no copy itself: the store has to be asked, where callers wait.
     void noCopyYet();
-    void onBlank(const QuestionEnd &end);
-    void onAnswer(QuestionEnd end, Question kind, PeerAnswer &answer);
-    void tell(QuestionEnd end, QuestionOutcome outcome) const;
+    void onBlank(const QueryReport &end);
+    void onAnswer(QueryReport end, Question kind, PeerAnswer &answer);
+    void tell(QueryReport end, QueryOutcome outcome) const;
     void redirect(Source &from, const PeerAnswer &answer);
     void failed(const Endpoint &source);
     void stale(Source &source);
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -15,16 +15,16 @@
 namespace baobabtrail {
 
 /// \brief What an asking daemon has of one collection.
-struct CollectionQuestion
+struct CollectionQuery
 {
     std::string prefix;
     ObjectVersion after; ///< Version of its copy; null where it has none.
 };
 
 /// \brief Asks a daemon for what it knows beyond a version; it may wait for a change.
-struct PeerQuestion
+struct PeerQuery
 {
-    std::vector<CollectionQuestion> collections;
+    std::vector<CollectionQuery> collections;
     Duration wait{0}; ///< Longest wait where nothing is newer.
     Endpoint asker;   ///< Where the asking daemon answers such questions itself.
     std::string domain;
@@ -42,7 +42,7 @@
     [[nodiscard]] bool lacksCopy() const noexcept
     {
         return std::any_of(collections.begin(), collections.end(),
-                           [](const CollectionQuestion &each) { return each.after.isNull(); });
+                           [](const CollectionQuery &each) { return each.after.isNull(); });
     }
 };
 
@@ -85,12 +85,12 @@
 };
 
 /// \brief A daemon that has its copies from the answering one.
-struct NamedDaemon
+struct PeerReferral
 {
     Endpoint address;
     std::optional<std::string> domain{}; ///< Nothing where the answer is an older release's.
 
-    friend bool operator==(const NamedDaemon &, const NamedDaemon &) = default;
+    friend bool operator==(const PeerReferral &, const PeerReferral &) = default;
 };
 
 /// \brief What the daemon knows, or whom to ask instead.
@@ -107,28 +107,28 @@
     bool seated = true;
     bool blank = false; ///< It has no copies itself yet, and waits for them.
     /// Daemons that have their copies from this one, which answers enough already.
-    std::vector<NamedDaemon> redirect;
+    std::vector<PeerReferral> redirect;
 };
 
 /// \brief Nothing where the peer has no copy that it can vouch for.
 using PeerReply = std::optional<PeerAnswer>;
 
 /// \return Whether the asking daemon goes on elsewhere, so that its connection is of no more use.
-[[nodiscard]] inline bool endsContact(const PeerReply &reply) noexcept
+[[nodiscard]] inline bool closesConnection(const PeerReply &reply) noexcept
 {
     return !reply || !reply->redirect.empty();
 }
 
 /// \brief How long a question may take, from the moment it is asked.
-struct AskLimits
+struct QueryTimeouts
 {
     /// Until the peer's VM takes the connection, as it does however busy the peer is; a VM that is
     /// dark or cut off does not.
     Duration connect{0};
-    Duration begin{0}; ///< Until the answer begins: a peer that lives answers at once.
+    Duration firstByte{0}; ///< Until the answer begins: a peer that lives answers at once.
     /// Until its end. An answer that goes on arriving is waited for: given up and asked for
     /// elsewhere, it would begin anew there and be late again, while the links carry both.
-    Duration whole{0};
+    Duration total{0};
 };
 
 /// \brief What a question brought the daemon that asked it.
@@ -140,7 +140,7 @@
 };
 
 /// \brief What became of a question.
-enum class QuestionOutcome {
+enum class QueryOutcome {
     Taken,      ///< The copy is as new as the source's.
     Stale,      ///< The source's copy is out of date itself.
     Blank,      ///< The source waits for a copy itself.
@@ -151,14 +151,14 @@
 };
 
 /// \brief How a question ended, for the log and the counters.
-struct QuestionEnd
+struct QueryReport
 {
     Endpoint source;
     ObjectVersion after; ///< Oldest version of the asking daemon's copies.
     Duration wait{0};    ///< That the source was allowed.
     Duration took{0};    ///< Until the end.
     std::uint64_t bytes = 0;
-    QuestionOutcome outcome = QuestionOutcome::Taken;
+    QueryOutcome outcome = QueryOutcome::Taken;
     std::string why{}; ///< Of an outcome that is no answer.
 };
 
--- a/src/core/directory/source_list.cpp
+++ b/src/core/directory/source_list.cpp
@@ -89,7 +89,7 @@
 
 // One that is known keeps what is known of it: two daemons that send this one on to each other
 // would else have it ask as fast as the network goes.
-void SourceList::add(const NamedDaemon &named)
+void SourceList::add(const PeerReferral &named)
 {
     if (find(named.address))
         return;
--- a/src/core/directory/source_list.h
+++ b/src/core/directory/source_list.h
@@ -46,7 +46,7 @@
     [[nodiscard]] Source *untriedRoot(TimePoint now);
     [[nodiscard]] std::vector<Endpoint> roots() const;
     /// \brief Another daemon has named this one.
-    void add(const NamedDaemon &named);
+    void add(const PeerReferral &named);
     void forgetNamed();
     /// \brief All may be tried again at once.
     void forgive();
--- a/src/core/directory/value_patch.h
+++ b/src/core/directory/value_patch.h
@@ -11,7 +11,7 @@
 
 /// Values from this size on are sent as patches, in bytes. Below it a patch saves less than a
 /// question and its answer cost anyway.
-inline constexpr std::size_t LeastPatchedBytes = 4096;
+inline constexpr std::size_t MinPatchedBytes = 4096;
 
 /// \return A patch that makes \a value out of \a base, with a checksum of the value.
 /// \throws std::runtime_error where the codec fails, for want of memory as a rule.
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -27,17 +27,17 @@
 {
 }
 
-bool ViewRelay::complete(const PeerQuestion &question) const
+bool ViewRelay::complete(const PeerQuery &question) const
 {
     return std::all_of(
         question.collections.begin(), question.collections.end(),
-        [this](const CollectionQuestion &each) { return m_copies.at(each.prefix)->complete(); });
+        [this](const CollectionQuery &each) { return m_copies.at(each.prefix)->complete(); });
 }
 
-std::optional<Duration> ViewRelay::ageOf(const PeerQuestion &question) const
+std::optional<Duration> ViewRelay::ageOf(const PeerQuery &question) const
 {
     Duration oldest{0};
-    for (const CollectionQuestion &each : question.collections) {
+    for (const CollectionQuery &each : question.collections) {
         if (!m_copies.at(each.prefix)->confirmedByAge())
             continue;
         const auto confirmed = m_copies.at(each.prefix)->confirmedAt();
@@ -56,11 +56,11 @@
     return m_ports.now() - *returned;
 }
 
-void ViewRelay::ask(const PeerQuestion &question, Reply reply)
+void ViewRelay::ask(const PeerQuery &question, Reply reply)
 {
     const bool known = std::all_of(
         question.collections.begin(), question.collections.end(),
-        [this](const CollectionQuestion &each) { return m_copies.contains(each.prefix); });
+        [this](const CollectionQuery &each) { return m_copies.contains(each.prefix); });
     if (!known || question.collections.empty()) {
         reply(std::nullopt);
         return;
@@ -85,7 +85,7 @@
         hold(question, std::move(reply));
 }
 
-bool ViewRelay::hasNews(const PeerQuestion &question) const
+bool ViewRelay::hasNews(const PeerQuery &question) const
 {
     if (question.lacksCopy())
         return true;
@@ -95,14 +95,14 @@
         && lineage.pulse >= question.pulse + LeastNewsOfPulse)
         return true;
     return std::any_of(question.collections.begin(), question.collections.end(),
-                       [this](const CollectionQuestion &each) {
+                       [this](const CollectionQuery &each) {
                            return m_copies.at(each.prefix)->changedSince(each.after);
                        });
 }
 
 // Where all daemons start at once, those that ask take their places before there is anything to
 // give, and wait: sent away, hundreds would come again and again.
-void ViewRelay::askBlank(const PeerQuestion &question, Reply reply)
+void ViewRelay::askBlank(const PeerQuery &question, Reply reply)
 {
     if (!question.lacksCopy()) {
         m_ports.fresher(question.asker);
@@ -117,9 +117,9 @@
         hold(question, std::move(reply));
 }
 
-bool ViewRelay::sendOn(const PeerQuestion &question, bool blank, const Reply &reply)
+bool ViewRelay::sendOn(const PeerQuery &question, bool blank, const Reply &reply)
 {
-    std::vector<NamedDaemon> elsewhere = redirect(question);
+    std::vector<PeerReferral> elsewhere = redirect(question);
     if (elsewhere.empty())
         return false;
     turnAway();
@@ -154,7 +154,7 @@
         m_ports.turnsAway(ended);
 }
 
-void ViewRelay::hold(const PeerQuestion &question, Reply reply)
+void ViewRelay::hold(const PeerQuery &question, Reply reply)
 {
     const std::uint64_t id = ++m_lastId;
     m_waiting.push_back({id, question, std::move(reply)});
@@ -165,19 +165,19 @@
                   });
 }
 
-std::optional<NamedDaemon> ViewRelay::rootIn(const std::string &domain) const
+std::optional<PeerReferral> ViewRelay::rootIn(const std::string &domain) const
 {
     for (const auto &[address, follower] : m_followers) {
         const bool here = m_ports.now() - follower.seenAt <= m_settings.followerTimeout;
         if (here && follower.domain == domain && m_ports.isRoot(address))
-            return NamedDaemon{address, domain};
+            return PeerReferral{address, domain};
     }
     return std::nullopt;
 }
 
 // Trees that stay within a failure domain outlive its being cut off, and don't cross the dear
 // links. One that comes back after a try can't reach the root of its own domain, and is taken here.
-std::optional<NamedDaemon> ViewRelay::nearerRoot(const PeerQuestion &question)
+std::optional<PeerReferral> ViewRelay::nearerRoot(const PeerQuery &question)
 {
     const TimePoint now = m_ports.now();
     std::erase_if(m_sentHome,
@@ -193,14 +193,14 @@
     return now - sent->second < TryTime ? root : std::nullopt;
 }
 
-std::vector<NamedDaemon> ViewRelay::redirect(const PeerQuestion &question)
+std::vector<PeerReferral> ViewRelay::redirect(const PeerQuery &question)
 {
     if (const auto root = nearerRoot(question))
         return {*root};
-    return admit(question) ? std::vector<NamedDaemon>{} : others(question.domain);
+    return admit(question) ? std::vector<PeerReferral>{} : others(question.domain);
 }
 
-bool ViewRelay::admit(const PeerQuestion &question)
+bool ViewRelay::admit(const PeerQuery &question)
 {
     const TimePoint now = m_ports.now();
     std::erase_if(m_followers, [&](const auto &item) {
@@ -221,7 +221,7 @@
 
 // By turns, so that the tree fills evenly: sent on at random, daemons that started together ended
 // far from the store.
-std::vector<NamedDaemon> ViewRelay::others(const std::string &domain)
+std::vector<PeerReferral> ViewRelay::others(const std::string &domain)
 {
     std::vector<std::pair<Endpoint, Follower *>> ranked;
     for (auto &[address, follower] : m_followers)
@@ -232,7 +232,7 @@
     std::stable_sort(ranked.begin(), ranked.end(), [&](const auto &a, const auto &b) {
         return rank(*a.second) < rank(*b.second);
     });
-    std::vector<NamedDaemon> named;
+    std::vector<PeerReferral> named;
     for (const auto &[address, follower] : ranked) {
         if (named.size() == MostNamed)
             break;
@@ -244,7 +244,7 @@
     return named;
 }
 
-PeerReply ViewRelay::answer(const PeerQuestion &question)
+PeerReply ViewRelay::answer(const PeerQuery &question)
 {
     PeerAnswer answer;
     answer.domain = m_domain;
@@ -257,7 +257,7 @@
     if (!age)
         return std::nullopt;
     answer.age = *age;
-    for (const CollectionQuestion &each : question.collections) {
+    for (const CollectionQuery &each : question.collections) {
         const CollectionCopy &copy = *m_copies.at(each.prefix);
         CollectionAnswer &out = answer.collections.emplace_back();
         out.delta = copy.since(each.after);
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -59,7 +59,7 @@
     /// \param copy Must outlive the relay.
     void add(const std::string &prefix, const CollectionCopy &copy) { m_copies[prefix] = &copy; }
     /// \param reply Called once, at once or later.
-    void ask(const PeerQuestion &question, Reply reply);
+    void ask(const PeerQuery &question, Reply reply);
     /// \brief To be called about each second: notices when nobody is sent on any more.
     void expire();
     /// \brief A copy changed: answers those who wait for it.
@@ -73,7 +73,7 @@
     struct Waiting
     {
         std::uint64_t id = 0;
-        PeerQuestion question;
+        PeerQuery question;
         Reply reply;
     };
     struct Follower
@@ -84,26 +84,26 @@
     };
 
     /// \return Whether all that is asked for is here.
-    [[nodiscard]] bool complete(const PeerQuestion &question) const;
+    [[nodiscard]] bool complete(const PeerQuery &question) const;
     /// \return Since the older of the copies was confirmed; nothing where one can't be vouched for:
     /// since the process stood still it may be older than what the asking daemon could read itself.
-    [[nodiscard]] std::optional<Duration> ageOf(const PeerQuestion &question) const;
+    [[nodiscard]] std::optional<Duration> ageOf(const PeerQuery &question) const;
     /// \return Since the store came back, where other daemons have to know that.
     [[nodiscard]] std::optional<Duration> sinceReturn(const CollectionCopy &copy) const;
-    [[nodiscard]] bool hasNews(const PeerQuestion &question) const;
+    [[nodiscard]] bool hasNews(const PeerQuery &question) const;
     /// \brief Answers one that asks while there is nothing here.
-    void askBlank(const PeerQuestion &question, Reply reply);
+    void askBlank(const PeerQuery &question, Reply reply);
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
-    [[nodiscard]] bool sendOn(const PeerQuestion &question, bool blank, const Reply &reply);
+    [[nodiscard]] bool sendOn(const PeerQuery &question, bool blank, const Reply &reply);
     void turnAway();
-    void hold(const PeerQuestion &question, Reply reply);
-    [[nodiscard]] PeerReply answer(const PeerQuestion &question);
-    [[nodiscard]] bool admit(const PeerQuestion &question);
-    [[nodiscard]] std::optional<NamedDaemon> rootIn(const std::string &domain) const;
-    [[nodiscard]] std::optional<NamedDaemon> nearerRoot(const PeerQuestion &question);
+    void hold(const PeerQuery &question, Reply reply);
+    [[nodiscard]] PeerReply answer(const PeerQuery &question);
+    [[nodiscard]] bool admit(const PeerQuery &question);
+    [[nodiscard]] std::optional<PeerReferral> rootIn(const std::string &domain) const;
+    [[nodiscard]] std::optional<PeerReferral> nearerRoot(const PeerQuery &question);
     /// \return Whom the asking daemon should ask instead; empty for nobody.
-    [[nodiscard]] std::vector<NamedDaemon> redirect(const PeerQuestion &question);
-    [[nodiscard]] std::vector<NamedDaemon> others(const std::string &domain);
+    [[nodiscard]] std::vector<PeerReferral> redirect(const PeerQuery &question);
+    [[nodiscard]] std::vector<PeerReferral> others(const std::string &domain);
     void timeOut(std::uint64_t id);
 
     std::string m_domain;
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -151,8 +151,8 @@
           };
     ports.peers.now = ports.feed.now;
     ports.peers.after = ports.feed.after;
-    ports.peers.ask = [this](const Endpoint &peer, const PeerQuestion &question,
-                             const AskLimits &limits, std::function<void(PeerResult)> done) {
+    ports.peers.ask = [this](const Endpoint &peer, const PeerQuery &question,
+                             const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
         askPeer(peer, question, limits, std::move(done));
     };
     ports.reader = platform::directoryReader();
@@ -202,8 +202,8 @@
                   });
 }
 
-void DirectDaemon::askPeer(const Endpoint &peer, const PeerQuestion &question,
-                           const AskLimits &limits, std::function<void(PeerResult)> done)
+void DirectDaemon::askPeer(const Endpoint &peer, const PeerQuery &question,
+                           const QueryTimeouts &limits, std::function<void(PeerResult)> done)
 {
     if (!m_peers) {
         runtime().after(ClientRestart, [done = std::move(done)] {
--- a/src/daemon/direct/direct_daemon.h
+++ b/src/daemon/direct/direct_daemon.h
@@ -57,7 +57,7 @@
     void carry(const Segment &segment, std::string_view bytes, const SegmentVerdict &verdict);
     [[nodiscard]] DirectCallbacks ports();
     void callStore(const PlatformRequest &request, std::function<void(PlatformResult)> done);
-    void askPeer(const Endpoint &peer, const PeerQuestion &question, const AskLimits &limits,
+    void askPeer(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits,
                  std::function<void(PeerResult)> done);
     void probeTarget(const Endpoint &target, std::function<void(ProbeOutcome)> done);
     void answerPeer(const HttpRequest &request, const HttpServer::Respond &respond);
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -69,24 +69,24 @@
 constexpr std::uint64_t LargeAnswer = 16384;
 
 /// \return The event of a question that ended so.
-[[nodiscard]] std::string_view kindOf(QuestionOutcome outcome) noexcept
+[[nodiscard]] std::string_view kindOf(QueryOutcome outcome) noexcept
 {
-    return outcome == QuestionOutcome::Taken ? "peer_copied" : "peer_unanswered";
+    return outcome == QueryOutcome::Taken ? "peer_copied" : "peer_unanswered";
 }
 
 /// \return Whether a question is counted only: most end within their wait and bring little, the
 /// states of the source have lines of their own, and so has a search.
-[[nodiscard]] bool isCountedOnly(const QuestionEnd &end) noexcept
+[[nodiscard]] bool isCountedOnly(const QueryReport &end) noexcept
 {
     // The source that answered until now is waited for.
     const bool contactLost = end.wait > Duration{0} && !end.after.isNull();
     switch (end.outcome) {
-    case QuestionOutcome::Unanswered:
-    case QuestionOutcome::Refused:
+    case QueryOutcome::Unanswered:
+    case QueryOutcome::Refused:
         return !contactLost && end.bytes == 0;
-    case QuestionOutcome::Misfit:
+    case QueryOutcome::Misfit:
         return false;
-    case QuestionOutcome::Taken:
+    case QueryOutcome::Taken:
         return end.bytes < LargeAnswer;
     default:
         return true;
@@ -139,8 +139,8 @@
     }
     LogEvent operator()(const PeerQueryEnded &in) const
     {
-        const QuestionEnd &end = in.end;
-        const bool taken = end.outcome == QuestionOutcome::Taken;
+        const QueryReport &end = in.end;
+        const bool taken = end.outcome == QueryOutcome::Taken;
         LogEvent event{taken ? Severity::Info : Severity::Warning, Part::Distribution,
                        kindOf(end.outcome)};
         event.field("source", end.source)
@@ -330,7 +330,7 @@
           [&] { return std::visit(NoticeLine{}, notice); });
 }
 
-void DirectLog::writeSearch(const QuestionEnd &end, TimePoint now)
+void DirectLog::writeSearch(const QueryReport &end, TimePoint now)
 {
     const auto report = m_search.ended(end, now);
     if (!report)
--- a/src/daemon/direct/direct_log.h
+++ b/src/daemon/direct/direct_log.h
@@ -52,7 +52,7 @@
     void admit(Part part, std::string_view kind, TimePoint now,
                const std::function<LogEvent()> &make);
 
-    void writeSearch(const QuestionEnd &end, TimePoint now);
+    void writeSearch(const QueryReport &end, TimePoint now);
 
     LogLimiter m_limiter;
     SourceSearch m_search;
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -44,11 +44,11 @@
 
 void DirectMetrics::asked(const PeerQueryEnded &asked)
 {
-    const QuestionEnd &end = asked.end;
+    const QueryReport &end = asked.end;
     const auto outcome = static_cast<std::size_t>(end.outcome);
     ++m_questions.ends[outcome];
     m_questions.bytes[outcome] += end.bytes;
-    if (end.outcome == QuestionOutcome::Taken && end.took > end.wait)
+    if (end.outcome == QueryOutcome::Taken && end.took > end.wait)
         m_questions.answers.add(end.took - end.wait);
 }
 
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -27,11 +27,11 @@
 inline constexpr std::array<std::string_view, 4> ProbeOutcomeNames{"alive", "refused", "silent",
                                                                    "unsure"};
 
-/// Names of QuestionOutcome.
+/// Names of QueryOutcome.
 inline constexpr std::array<std::string_view, 7> QuestionOutcomeNames{
     "taken", "stale", "blank", "redirected", "refused", "misfit", "unanswered"};
 
-[[nodiscard]] constexpr std::string_view nameOf(QuestionOutcome outcome) noexcept
+[[nodiscard]] constexpr std::string_view nameOf(QueryOutcome outcome) noexcept
 {
     return QuestionOutcomeNames[static_cast<std::size_t>(outcome)];
 }
--- a/src/daemon/direct/peer_http.cpp
+++ b/src/daemon/direct/peer_http.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-HttpCall peerCall(const Endpoint &peer, const PeerQuestion &question, const AskLimits &limits)
+HttpCall peerCall(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits)
 {
     HttpCall call;
     call.server = peer;
@@ -29,8 +29,8 @@
     call.request.body() = wire::toJson(question);
     call.request.prepare_payload();
     call.connectTimeout = limits.connect;
-    call.timeout = limits.begin;
-    call.longest = limits.whole;
+    call.timeout = limits.firstByte;
+    call.longest = limits.total;
     call.repeatable = true;
     return call;
 }
@@ -49,7 +49,7 @@
     return body ? readAnswer(*body, bytes) : PeerResult{{}, bytes, "the answer can't be unpacked"};
 }
 
-std::optional<PeerQuestion> peerQuestion(const HttpRequest &request)
+std::optional<PeerQuery> peerQuestion(const HttpRequest &request)
 {
     return request.path == wire::ViewPath ? wire::parseQuestion(request.body) : std::nullopt;
 }
@@ -67,7 +67,7 @@
     HttpReply answer{200, "application/json", std::move(packed ? *packed : body)};
     if (packed)
         answer.contentEncoding = wire::PackedCoding;
-    answer.closes = endsContact(reply);
+    answer.closes = closesConnection(reply);
     return answer;
 }
 
--- a/src/daemon/direct/source_search.h
+++ b/src/daemon/direct/source_search.h
@@ -22,10 +22,10 @@
     };
 
     /// \brief A question has ended. \return What to write; nothing for most.
-    [[nodiscard]] std::optional<Report> ended(const QuestionEnd &end, TimePoint now)
+    [[nodiscard]] std::optional<Report> ended(const QueryReport &end, TimePoint now)
     {
         const bool answered
-            = end.outcome == QuestionOutcome::Taken || end.outcome == QuestionOutcome::Stale;
+            = end.outcome == QueryOutcome::Taken || end.outcome == QueryOutcome::Stale;
         if (answered)
             return found(now);
         if (!m_began)
--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -57,11 +57,11 @@
 }
 
 /// \brief Writes addresses as older releases read them, and the failure domains beside them.
-void appendNamed(json::object &out, const std::vector<NamedDaemon> &daemons)
+void appendNamed(json::object &out, const std::vector<PeerReferral> &daemons)
 {
     json::array addresses;
     json::array domains;
-    for (const NamedDaemon &daemon : daemons) {
+    for (const PeerReferral &daemon : daemons) {
         addresses.emplace_back(toString(daemon.address));
         domains.emplace_back(daemon.domain.value_or(""));
     }
@@ -70,10 +70,10 @@
 }
 
 /// \param domains Of the addresses; null from an older release.
-[[nodiscard]] std::vector<NamedDaemon> namedOf(const json::value &addresses,
-                                               const json::value *domains)
+[[nodiscard]] std::vector<PeerReferral> namedOf(const json::value &addresses,
+                                                const json::value *domains)
 {
-    std::vector<NamedDaemon> out;
+    std::vector<PeerReferral> out;
     for (const Endpoint &address : endpointsOf(addresses))
         out.push_back({address, std::nullopt});
     if (!domains)
@@ -164,13 +164,13 @@
     return answer;
 }
 
-void append(json::object &out, const CollectionQuestion &question)
+void append(json::object &out, const CollectionQuery &question)
 {
     out["prefix"] = question.prefix;
     out["after"] = question.after.value();
 }
 
-[[nodiscard]] CollectionQuestion collectionQuestionOf(const json::object &in)
+[[nodiscard]] CollectionQuery collectionQuestionOf(const json::object &in)
 {
     return {textOf(in.at("prefix")), ObjectVersion{in.at("after").to_number<std::uint64_t>()}};
 }
@@ -221,7 +221,7 @@
 
 // What has its usual value is left out: a daemon sends some of these each second, of 2 KB that
 // control may take.
-std::string toJson(const PeerQuestion &question)
+std::string toJson(const PeerQuery &question)
 {
     json::object out{{"asker", textOf(question.asker)}, {"domain", question.domain}};
     appendAll(out, question.collections);
@@ -261,10 +261,10 @@
     return json::serialize(out);
 }
 
-std::optional<PeerQuestion> parseQuestion(std::string_view text)
+std::optional<PeerQuery> parseQuestion(std::string_view text)
 {
-    return parsed<PeerQuestion>(text, [](const json::object &root) {
-        PeerQuestion question;
+    return parsed<PeerQuery>(text, [](const json::object &root) {
+        PeerQuery question;
         question.collections = readAll(root, collectionQuestionOf);
         question.asker = endpointOf(root.at("asker"));
         question.domain = textOf(root.at("domain"));
@@ -308,7 +308,7 @@
 
 std::optional<std::string> packed(std::string_view body)
 {
-    if (body.size() < LeastPatchedBytes)
+    if (body.size() < MinPatchedBytes)
         return std::nullopt;
     try {
         return makePatch({}, body);
--- a/src/wire/view_form.h
+++ b/src/wire/view_form.h
@@ -13,11 +13,11 @@
 /// Path at which a daemon answers questions, by POST.
 inline constexpr std::string_view ViewPath = "/v1/view";
 
-[[nodiscard]] std::string toJson(const PeerQuestion &question);
+[[nodiscard]] std::string toJson(const PeerQuery &question);
 [[nodiscard]] std::string toJson(const PeerAnswer &answer);
 
 /// \return The question, or nothing where the text is none.
-[[nodiscard]] std::optional<PeerQuestion> parseQuestion(std::string_view text);
+[[nodiscard]] std::optional<PeerQuery> parseQuestion(std::string_view text);
 /// \return The answer, or nothing where the text is none.
 [[nodiscard]] std::optional<PeerAnswer> parseAnswer(std::string_view text);
 
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -16,8 +16,8 @@
     struct Asked
     {
         Endpoint peer;
-        PeerQuestion question;
-        AskLimits limits;
+        PeerQuery question;
+        QueryTimeouts limits;
         std::function<void(PeerReply)> done;
     };
     struct Pause
@@ -48,8 +48,8 @@
         ports.after = [this](Duration wait, std::function<void()> call) {
             pauses.push_back({now + wait, std::move(call)});
         };
-        ports.ask = [this](const Endpoint &peer, const PeerQuestion &question,
-                           const AskLimits &limits, std::function<void(PeerResult)> done) {
+        ports.ask = [this](const Endpoint &peer, const PeerQuery &question,
+                           const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
             asked.push_back({peer, question, limits, [done = std::move(done)](PeerReply reply) {
                                  done({std::move(reply)});
                              }});
@@ -185,9 +185,9 @@
 Test(peerFeed, aDarkMachineCostsLessThanABusyOne)
 {
     AskedFeed daemon;
-    const AskLimits &limits = daemon.asked.at(0).limits;
+    const QueryTimeouts &limits = daemon.asked.at(0).limits;
     cr_assert_leq(limits.connect.count(), Duration{200ms}.count());
-    cr_assert_gt(limits.begin.count(), Duration{1s}.count());
+    cr_assert_gt(limits.firstByte.count(), Duration{1s}.count());
 }
 
 // A release that knows one collection at a time answers for the first one only.
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -53,7 +53,7 @@
 {
     struct Asked
     {
-        PeerQuestion question;
+        PeerQuery question;
         std::function<void(PeerResult)> done;
     };
 
@@ -76,7 +76,7 @@
         PeerPorts ports;
         ports.now = [] { return TimePoint{1h}; };
         ports.after = [](Duration, const std::function<void()> &) {};
-        ports.ask = [this](const Endpoint &, const PeerQuestion &question, const AskLimits &,
+        ports.ask = [this](const Endpoint &, const PeerQuery &question, const QueryTimeouts &,
                            std::function<void(PeerResult)> done) {
             asked.push_back({question, std::move(done)});
         };
@@ -130,7 +130,7 @@
     cr_assert_eq(patches.at(0).key, Key);
     cr_assert(patches.at(0).bytes == sent.collections.at(0).patches.at(0).bytes);
     cr_assert_eq(patches.at(0).version.value(), 20);
-    PeerQuestion question;
+    PeerQuery question;
     question.collections = {{"routes/", ObjectVersion{10}}};
     question.patches = true;
     cr_assert(wire::parseQuestion(wire::toJson(question))->patches);
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -31,7 +31,7 @@
     /// \return What a daemon of d1 that has the copy is answered.
     PeerAnswer ask(const Endpoint &asker)
     {
-        PeerQuestion question;
+        PeerQuery question;
         question.collections = {{"targets/", ObjectVersion{3}}};
         question.asker = asker;
         question.domain = "d1";
@@ -51,7 +51,7 @@
 {
     RootOfD0 root;
     cr_assert(root.ask(NearRoot).redirect.empty());
-    const std::vector<NamedDaemon> expected{{NearRoot, "d1"}};
+    const std::vector<PeerReferral> expected{{NearRoot, "d1"}};
     cr_assert(root.ask(Asker).redirect == expected);
     root.now += 400ms;
     cr_assert(root.ask(Asker).redirect.empty());
@@ -91,7 +91,7 @@
 
     void ask(const Endpoint &asker, std::uint64_t after, std::vector<PeerReply> &replies)
     {
-        PeerQuestion question;
+        PeerQuery question;
         question.collections = {{"targets/", ObjectVersion{after}}};
         question.asker = asker;
         question.domain = "d0";
@@ -166,7 +166,7 @@
 Test(viewRelay, whatIsNotKnownHereIsNotAnswered)
 {
     RootOfD0 root;
-    PeerQuestion question;
+    PeerQuery question;
     question.collections = {{"targets/", {}}, {"nothing/", {}}};
     bool answered = false;
     root.relay.ask(question, [&](const PeerReply &reply) { answered = reply.has_value(); });
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -187,8 +187,8 @@
         ports.peers.now = ports.feed.now;
         ports.peers.after = ports.feed.after;
         ports.peers.ask
-            = [this, index](const Endpoint &peer, const PeerQuestion &question,
-                            const AskLimits &limits, std::function<void(PeerResult)> done) {
+            = [this, index](const Endpoint &peer, const PeerQuery &question,
+                            const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
                   ask(index, peer, question, limits, std::move(done));
               };
         ports.reader = reader();
@@ -198,8 +198,8 @@
     }
 
     // Answers on the way share the links, so that each begins to arrive as soon as it is given.
-    void ask(std::size_t from, const Endpoint &peer, const PeerQuestion &question,
-             const AskLimits &limits, std::function<void(PeerResult)> done)
+    void ask(std::size_t from, const Endpoint &peer, const PeerQuery &question,
+             const QueryTimeouts &limits, std::function<void(PeerResult)> done)
     {
         ++asks;
         const auto answered = std::make_shared<bool>(false);
@@ -211,13 +211,13 @@
         };
         const std::size_t to = peer.address - addressOf(0).address;
         const bool cut = cutFromPeers.contains(from) || cutFromPeers.contains(to);
-        const Duration begin
-            = cut || dark.contains(to) ? std::min(limits.connect, limits.begin) : limits.begin;
+        const Duration begin = cut || dark.contains(to) ? std::min(limits.connect, limits.firstByte)
+                                                        : limits.firstByte;
         time.after(begin, at(from, [once, begun] {
                        if (!*begun)
                            once(std::nullopt);
                    }));
-        time.after(limits.whole, at(from, [once] { once(std::nullopt); }));
+        time.after(limits.total, at(from, [once] { once(std::nullopt); }));
         if (cut || dark.contains(to))
             return;
         ++m_daemons[to]->asked;
@@ -238,22 +238,22 @@
         });
     }
 
-    void handle(std::size_t from, std::size_t to, const PeerQuestion &question,
+    void handle(std::size_t from, std::size_t to, const PeerQuery &question,
                 const std::function<void(const PeerReply &)> &once,
                 const std::shared_ptr<bool> &begun, bool closes)
     {
-        m_daemons[to]->node->handle(
-            question, [this, from, to, once, begun, closes](const PeerReply &reply) {
-                m_daemons[to]->connections.end(from, time.now(), !closes && !endsContact(reply));
-                if (countBytes && reply)
-                    countSent(to, wire::toJson(*reply));
-                if (cutFromPeers.contains(from) || cutFromPeers.contains(to))
-                    return;
-                const std::uint64_t size = passingSizeOf(reply);
-                const Duration passing = std::max(occupy(to, size), occupy(from, size));
-                time.after(Hop, [begun] { *begun = true; });
-                time.after(Hop + passing, [once, reply] { once(reply); });
-            });
+        m_daemons[to]->node->handle(question, [this, from, to, once, begun,
+                                               closes](const PeerReply &reply) {
+            m_daemons[to]->connections.end(from, time.now(), !closes && !closesConnection(reply));
+            if (countBytes && reply)
+                countSent(to, wire::toJson(*reply));
+            if (cutFromPeers.contains(from) || cutFromPeers.contains(to))
+                return;
+            const std::uint64_t size = passingSizeOf(reply);
+            const Duration passing = std::max(occupy(to, size), occupy(from, size));
+            time.after(Hop, [begun] { *begun = true; });
+            time.after(Hop + passing, [once, reply] { once(reply); });
+        });
     }
 
     [[nodiscard]] static std::uint64_t sizeOf(const std::vector<StoredObject> &objects)
--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -32,7 +32,7 @@
 
 Test(viewForm, aQuestionComesAsItWasAsked)
 {
-    PeerQuestion question;
+    PeerQuery question;
     question.collections = {{"routes/", ObjectVersion{6}}, {"targets/", ObjectVersion{7}}};
     question.wait = 1s;
     question.asker = Follower;
