--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -262,7 +262,7 @@
 // daemon to the roots, again and again.
 void PeerFeed::onBlank(const QueryReport &end)
 {
-    tell(end, QueryOutcome::Blank);
+    tell(end, QueryOutcome::Empty);
     if (!blank() || !isLinked()) {
         failed(end.source);
         return;
@@ -286,7 +286,7 @@
     }
     if (!m_copies.unpack(answer)) {
         end.why = "a patch does not fit the copy; the whole value is asked for";
-        tell(std::move(end), QueryOutcome::Misfit);
+        tell(std::move(end), QueryOutcome::PatchMismatch);
         m_takesPatches = false;
         askAt(address, kind);
         return;
@@ -295,7 +295,7 @@
     const AnswerTaken taken = m_copies.take(answer, m_settings.staleAfter, m_ports.now());
     if (taken.changed || taken.confirmed)
         m_handlers.answered(taken.changed);
-    tell(std::move(end), taken.fresh ? QueryOutcome::Taken : QueryOutcome::Stale);
+    tell(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
     Source &source = *m_sources.find(address);
     source.seated = answer.seated;
     if (!taken.fresh) {
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -141,13 +141,13 @@
 
 /// \brief What became of a question.
 enum class QueryOutcome {
-    Taken,      ///< The copy is as new as the source's.
-    Stale,      ///< The source's copy is out of date itself.
-    Blank,      ///< The source waits for a copy itself.
-    Redirected, ///< The source named others to ask.
-    Refused,    ///< The source has its copy from this daemon, or over too many others.
-    Misfit,     ///< A patch was made for a value that this daemon never had.
-    Unanswered, ///< Nothing, or not all of it in time.
+    Applied,       ///< The copy is as new as the source's.
+    Stale,         ///< The source's copy is out of date itself.
+    Empty,         ///< The source waits for a copy itself.
+    Redirected,    ///< The source named others to ask.
+    Refused,       ///< The source has its copy from this daemon, or over too many others.
+    PatchMismatch, ///< A patch was made for a value that this daemon never had.
+    Unanswered,    ///< Nothing, or not all of it in time.
 };
 
 /// \brief How a question ended, for the log and the counters.
@@ -158,7 +158,7 @@
     Duration wait{0};    ///< That the source was allowed.
     Duration took{0};    ///< Until the end.
     std::uint64_t bytes = 0;
-    QueryOutcome outcome = QueryOutcome::Taken;
+    QueryOutcome outcome = QueryOutcome::Applied;
     std::string why{}; ///< Of an outcome that is no answer.
 };
 
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -71,7 +71,7 @@
 /// \return The event of a question that ended so.
 [[nodiscard]] std::string_view kindOf(QueryOutcome outcome) noexcept
 {
-    return outcome == QueryOutcome::Taken ? "peer_copied" : "peer_unanswered";
+    return outcome == QueryOutcome::Applied ? "peer_copied" : "peer_unanswered";
 }
 
 /// \return Whether a question is counted only: most end within their wait and bring little, the
@@ -84,9 +84,9 @@
     case QueryOutcome::Unanswered:
     case QueryOutcome::Refused:
         return !contactLost && end.bytes == 0;
-    case QueryOutcome::Misfit:
+    case QueryOutcome::PatchMismatch:
         return false;
-    case QueryOutcome::Taken:
+    case QueryOutcome::Applied:
         return end.bytes < LargeAnswer;
     default:
         return true;
@@ -140,7 +140,7 @@
     LogEvent operator()(const PeerQueryEnded &in) const
     {
         const QueryReport &end = in.end;
-        const bool taken = end.outcome == QueryOutcome::Taken;
+        const bool taken = end.outcome == QueryOutcome::Applied;
         LogEvent event{taken ? Severity::Info : Severity::Warning, Part::Distribution,
                        kindOf(end.outcome)};
         event.field("source", end.source)
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -48,7 +48,7 @@
     const auto outcome = static_cast<std::size_t>(end.outcome);
     ++m_questions.ends[outcome];
     m_questions.bytes[outcome] += end.bytes;
-    if (end.outcome == QueryOutcome::Taken && end.took > end.wait)
+    if (end.outcome == QueryOutcome::Applied && end.took > end.wait)
         m_questions.answers.add(end.took - end.wait);
 }
 
--- a/src/daemon/direct/source_search.h
+++ b/src/daemon/direct/source_search.h
@@ -25,7 +25,7 @@
     [[nodiscard]] std::optional<Report> ended(const QueryReport &end, TimePoint now)
     {
         const bool answered
-            = end.outcome == QueryOutcome::Taken || end.outcome == QueryOutcome::Stale;
+            = end.outcome == QueryOutcome::Applied || end.outcome == QueryOutcome::Stale;
         if (answered)
             return found(now);
         if (!m_began)
