--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -180,8 +180,8 @@
     // look elsewhere.
     if ((m_isRoot || storeConnected()) && !alone) {
         lineage.origin = m_identity.address;
-        lineage.pulse
-            = static_cast<std::uint64_t>(m_callbacks.feed.now().time_since_epoch() / PulseUnit);
+        lineage.heartbeat = static_cast<std::uint64_t>(m_callbacks.feed.now().time_since_epoch()
+                                                       / HeartbeatInterval);
     }
     lineage.path.insert(lineage.path.begin(), m_identity.address);
     return lineage;
@@ -196,8 +196,8 @@
     const TimePoint confirmed = age ? m_callbacks.feed.now() - *age : m_notifiedConfirmedAt;
     const TimePoint heard = m_peers.heardAt().value_or(m_notifiedHeartbeatAt);
     const bool newlyConfirmed = confirmed - m_notifiedConfirmedAt >= MinConfirmationStep;
-    const bool pulse = heard - m_notifiedHeartbeatAt >= LeastNewsOfPulse * PulseUnit;
-    if (!newlyConfirmed && !pulse)
+    const bool heartbeat = heard - m_notifiedHeartbeatAt >= MinHeartbeatAdvance * HeartbeatInterval;
+    if (!newlyConfirmed && !heartbeat)
         return;
     m_notifiedConfirmedAt = confirmed;
     m_notifiedHeartbeatAt = heard;
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -144,7 +144,7 @@
     question.asker = m_identity.address;
     question.domain = m_identity.domain;
     question.origin = m_lineage.origin;
-    question.pulse = m_lineage.pulse;
+    question.heartbeat = m_lineage.heartbeat;
     if (const auto confirmed = m_copies.confirmedAt())
         question.age = m_ports.now() - *confirmed;
     question.wait = waitOf(kind, source);
@@ -203,7 +203,7 @@
 
 bool PeerFeed::isLinked() const
 {
-    const auto heard = m_pulses.grewAt();
+    const auto heard = m_heartbeats.lastAdvanceAt();
     return heard && m_ports.now() - *heard <= m_settings.unlinkedAfter;
 }
 
@@ -251,7 +251,7 @@
     // A look changes nothing of where the copies come from: followers would hear of another origin.
     if (kind != Question::Look)
         m_lineage = reply->lineage;
-    m_pulses.hear(reply->lineage, m_ports.now());
+    m_heartbeats.observe(reply->lineage, m_ports.now());
     if (reply->blank)
         onBlank(end);
     else
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "core/control/backoff.h"
+#include "core/directory/heartbeat_monitor.h"
 #include "core/directory/peer_copies.h"
 #include "core/directory/peer_view.h"
-#include "core/directory/pulse_watch.h"
 #include "core/directory/question_pace.h"
 #include "core/directory/source_list.h"
 #include "core/random.h"
@@ -122,7 +122,10 @@
     /// \return Of the source.
     [[nodiscard]] const Lineage &lineage() const noexcept { return m_lineage; }
     /// \return When the origin's pulse grew last.
-    [[nodiscard]] std::optional<TimePoint> heardAt() const noexcept { return m_pulses.grewAt(); }
+    [[nodiscard]] std::optional<TimePoint> heardAt() const noexcept
+    {
+        return m_heartbeats.lastAdvanceAt();
+    }
     /// \return Whether somebody on the way up looks after the store.
     [[nodiscard]] bool isLinked() const;
 
@@ -170,7 +173,7 @@
     QuestionPace m_pace;
     Endpoint m_source;
     Lineage m_lineage;
-    PulseWatch m_pulses;
+    HeartbeatMonitor m_heartbeats;
     TimePoint m_startedAt{};
     PeerState m_state = PeerState::Fresh;
     bool m_takesPatches = true; ///< False after one that did not fit, until an answer is taken.
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -33,7 +33,7 @@
     std::optional<Duration> age;
     /// The origin that the asking daemon is linked to, and its highest pulse so far.
     Endpoint origin;
-    std::uint64_t pulse = 0;
+    std::uint64_t heartbeat = 0;
     /// Only a look: to be answered at once, and to take no seat.
     bool look = false;
     bool patches = false; ///< Large values may come as patches.
@@ -56,14 +56,14 @@
     Endpoint origin; ///< The daemon that looks after the store; null where none is known.
     /// Counted by the origin. Whoever sees it grow is linked to the origin, however old the copy
     /// is; among daemons that only have their copies from each other it stands.
-    std::uint64_t pulse = 0;
+    std::uint64_t heartbeat = 0;
 };
 
 /// One count of a pulse: finer than the second in which followers ask.
-inline constexpr Duration PulseUnit = 100ms;
+inline constexpr Duration HeartbeatInterval = 100ms;
 /// Followers hear of a pulse after so many counts: less than the shortest wait of the first hop, so
 /// that each of them gets it at once, however many hops away.
-inline constexpr std::uint64_t LeastNewsOfPulse = 5;
+inline constexpr std::uint64_t MinHeartbeatAdvance = 5;
 
 /// \brief An object's new value, as what makes it out of an older one.
 struct ValuePatch
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -92,7 +92,7 @@
     // One that asks a moment after the others were told would hear a whole wait later, at each hop.
     const Lineage lineage = m_ports.lineage();
     if (!lineage.origin.isNull() && lineage.origin == question.origin
-        && lineage.pulse >= question.pulse + LeastNewsOfPulse)
+        && lineage.heartbeat >= question.heartbeat + MinHeartbeatAdvance)
         return true;
     return std::any_of(question.collections.begin(), question.collections.end(),
                        [this](const CollectionQuery &each) {
--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -231,7 +231,7 @@
         out["age_us"] = micros(*question.age);
     if (!question.origin.isNull()) {
         out["origin"] = textOf(question.origin);
-        out["pulse"] = question.pulse;
+        out["pulse"] = question.heartbeat;
     }
     if (question.look)
         out["look"] = true;
@@ -255,7 +255,7 @@
         out["path"] = listOf(answer.lineage.path);
     if (!answer.lineage.origin.isNull()) {
         out["origin"] = textOf(answer.lineage.origin);
-        out["pulse"] = answer.lineage.pulse;
+        out["pulse"] = answer.lineage.heartbeat;
     }
     appendAll(out, answer.collections);
     return json::serialize(out);
@@ -274,7 +274,7 @@
             question.age = Duration{age->to_number<std::int64_t>()};
         if (const json::value *origin = root.if_contains("origin")) {
             question.origin = endpointOf(*origin);
-            question.pulse = root.at("pulse").to_number<std::uint64_t>();
+            question.heartbeat = root.at("pulse").to_number<std::uint64_t>();
         }
         question.look = flagOf(root, "look", false);
         question.patches = flagOf(root, "patches", false);
@@ -298,7 +298,7 @@
             answer.lineage.path = endpointsOf(*path);
         if (const json::value *origin = root.if_contains("origin")) {
             answer.lineage.origin = endpointOf(*origin);
-            answer.lineage.pulse = root.at("pulse").to_number<std::uint64_t>();
+            answer.lineage.heartbeat = root.at("pulse").to_number<std::uint64_t>();
         }
         if (!answer.blank)
             answer.collections = readAll(root, collectionAnswerOf);
--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -39,7 +39,7 @@
     question.domain = "alx-agami";
     question.age = 300ms;
     question.origin = Root;
-    question.pulse = 12;
+    question.heartbeat = 12;
     question.look = true;
     const auto read = wire::parseQuestion(wire::toJson(question));
     cr_assert(read.has_value());
@@ -50,7 +50,7 @@
     cr_assert_eq(read->collections.at(1).after.value(), 7);
     cr_assert(read->wait == 1s && read->age == 300ms);
     cr_assert(read->asker == Follower && read->origin == Root);
-    cr_assert_eq(read->pulse, 12);
+    cr_assert_eq(read->heartbeat, 12);
     cr_assert(read->look);
 }
 
@@ -60,7 +60,7 @@
     cr_assert(read.has_value());
     cr_assert(read->lineage.path == std::vector<Endpoint>({Follower, Root}));
     cr_assert(read->lineage.origin == Root);
-    cr_assert_eq(read->lineage.pulse, 17);
+    cr_assert_eq(read->lineage.heartbeat, 17);
     cr_assert(!read->seated);
     cr_assert_eq(read->collections.size(), 2);
     cr_assert_eq(read->collections.at(0).delta.change.version.value(), 5);
@@ -106,7 +106,7 @@
     const auto read = wire::parseAnswer(wire::toJson(answer));
     cr_assert(read.has_value());
     cr_assert(read->blank && read->collections.empty());
-    cr_assert_eq(read->lineage.pulse, 3);
+    cr_assert_eq(read->lineage.heartbeat, 3);
 }
 
 // Releases differ while daemons are replaced: one that asks for one collection is understood, and
