--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -123,7 +123,7 @@
 {
     const TimePoint now = m_ports.now();
     if (const Source *source = m_sources.choose(m_source, now)) {
-        if (m_pace.admit(now))
+        if (m_rateLimiter.admit(now))
             askAt(source->address);
         else
             later(m_settings.retry);
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -4,7 +4,7 @@
 #include "core/directory/heartbeat_monitor.h"
 #include "core/directory/peer_copies.h"
 #include "core/directory/peer_view.h"
-#include "core/directory/question_pace.h"
+#include "core/directory/query_rate_limiter.h"
 #include "core/directory/source_list.h"
 #include "core/random.h"
 
@@ -170,7 +170,7 @@
     PeerHandlers m_handlers;
     Backoff m_backoff;
     SourceList m_sources;
-    QuestionPace m_pace;
+    QueryRateLimiter m_rateLimiter;
     Endpoint m_source;
     Lineage m_lineage;
     HeartbeatMonitor m_heartbeats;
