--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -78,7 +78,7 @@
         copy.confirm(now);
     }
 
-    [[nodiscard]] static PeerAnswer blank()
+    [[nodiscard]] static PeerAnswer emptyAnswer()
     {
         PeerAnswer answer;
         answer.domain = "d0";
@@ -87,11 +87,11 @@
         return answer;
     }
 
-    [[nodiscard]] static PeerAnswer sentOn(bool fromBlank)
+    [[nodiscard]] static PeerAnswer redirectAnswer(bool fromEmpty)
     {
         PeerAnswer answer;
         answer.domain = "d0";
-        answer.blank = fromBlank;
+        answer.blank = fromEmpty;
         answer.redirect = {{Follower, "d0"}};
         return answer;
     }
@@ -121,7 +121,7 @@
     AskedFeed daemon;
     cr_assert(daemon.asked.at(0).question.lacksCopy());
     daemon.list(10);
-    daemon.asked.at(0).done(AskedFeed::blank());
+    daemon.asked.at(0).done(AskedFeed::emptyAnswer());
     cr_assert_eq(daemon.copy.version().value(), 10);
     daemon.run(1s);
     cr_assert_eq(daemon.asked.size(), 2);
@@ -132,7 +132,7 @@
 Test(peerFeed, aCopyOfAnySizeComesFromAPeer)
 {
     AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::sentOn(false));
+    daemon.asked.at(0).done(AskedFeed::redirectAnswer(false));
     cr_assert(daemon.asked.at(1).peer == Follower);
     daemon.run(500ms);
     cr_assert(daemon.feed.state() != PeerState::Lost, "the store would be asked beside the peer");
@@ -145,7 +145,7 @@
 Test(peerFeed, theStoreIsAskedTooWhereAPromisedCopyDoesNotCome)
 {
     AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::sentOn(false));
+    daemon.asked.at(0).done(AskedFeed::redirectAnswer(false));
     daemon.run(200ms);
     cr_assert(daemon.feed.state() == PeerState::Fresh);
     daemon.run(900ms);
@@ -156,7 +156,7 @@
 Test(peerFeed, theStoreIsAskedSoonWhereNobodyHasACopy)
 {
     AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::sentOn(true));
+    daemon.asked.at(0).done(AskedFeed::redirectAnswer(true));
     cr_assert(daemon.feed.state() == PeerState::Lost);
     cr_assert_eq(daemon.asked.size(), 2, "it waits at its place all the same");
 }
