--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -83,7 +83,7 @@
 {
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
         std::optional<TimePoint> returned;
-        if (const auto since = answer.collections[index].sinceReturn)
+        if (const auto since = answer.collections[index].sinceStoreReturn)
             returned = now - *since;
         m_collections[index].copy->noteStoreReturn(returned, now - answer.age);
     }
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -43,7 +43,7 @@
         setState(PeerState::Lost);
         return;
     }
-    if (blank()) {
+    if (isEmpty()) {
         const Duration wait = std::max(m_settings.patience, m_settings.headStart);
         m_ports.after(wait, [this, alive = std::weak_ptr{m_run}, startedAt = m_startedAt] {
             if (!alive.expired())
@@ -55,7 +55,7 @@
 
 void PeerFeed::askStoreToo(TimePoint startedAt)
 {
-    if (startedAt != m_startedAt || !blank())
+    if (startedAt != m_startedAt || !isEmpty())
         return;
     const Duration waited = m_ports.now() - m_startedAt;
     if (!m_promised || waited >= m_settings.copyHeadStart) {
@@ -72,7 +72,7 @@
 // All have started at once, and nobody can bring a copy sooner than the store.
 void PeerFeed::noCopyYet()
 {
-    if (blank() && !m_promised && m_ports.now() - m_startedAt >= m_settings.patience)
+    if (isEmpty() && !m_promised && m_ports.now() - m_startedAt >= m_settings.patience)
         setState(PeerState::Lost);
 }
 
@@ -110,12 +110,12 @@
     // A source that is not known to answer is not waited for.
     if (source != m_source)
         return Duration{0};
-    return blank() ? m_settings.blankWait : longestWait();
+    return isEmpty() ? m_settings.blankWait : longestWait();
 }
 
 QueryTimeouts PeerFeed::timeoutsFor(Duration wait) const
 {
-    const Duration begin = wait + (blank() ? m_settings.copyTimeout : m_settings.timeout);
+    const Duration begin = wait + (isEmpty() ? m_settings.copyTimeout : m_settings.timeout);
     return {m_settings.connectTimeout, begin, wait + m_settings.longestAnswer};
 }
 
@@ -130,7 +130,7 @@
         return;
     }
     judge();
-    if (blank())
+    if (isEmpty())
         m_sources.forgive(); // Nothing to lose: all are tried again after the pause.
     later(m_backoff.next(m_random, Duration{0}));
 }
@@ -138,10 +138,10 @@
 PeerQuery PeerFeed::question(Question kind, const Endpoint &source) const
 {
     PeerQuery question;
-    question.look = kind == Question::Look;
+    question.oneShot = kind == Question::Look;
     question.collections = m_copies.question();
     question.patches = m_takesPatches;
-    question.asker = m_identity.address;
+    question.querier = m_identity.address;
     question.domain = m_identity.domain;
     question.origin = m_lineage.origin;
     question.heartbeat = m_lineage.heartbeat;
@@ -191,9 +191,9 @@
     if (fresher == m_identity.address || fresher.isNull())
         return;
     const TimePoint now = m_ports.now();
-    if (!blank() && m_state == PeerState::Fresh)
+    if (!isEmpty() && m_state == PeerState::Fresh)
         return;
-    if (blank() && m_suggestedAt && now - *m_suggestedAt < SuggestPeriod)
+    if (isEmpty() && m_suggestedAt && now - *m_suggestedAt < SuggestPeriod)
         return;
     m_suggestedAt = now;
     m_sources.add({fresher, std::nullopt});
@@ -252,7 +252,7 @@
     if (kind != Question::Look)
         m_lineage = reply->lineage;
     m_heartbeats.observe(reply->lineage, m_ports.now());
-    if (reply->blank)
+    if (reply->isEmpty)
         onBlank(end);
     else
         onAnswer(std::move(end), kind, *reply);
@@ -263,7 +263,7 @@
 void PeerFeed::onBlank(const QueryReport &end)
 {
     tell(end, QueryOutcome::Empty);
-    if (!blank() || !isLinked()) {
+    if (!isEmpty() || !isLinked()) {
         failed(end.source);
         return;
     }
@@ -297,7 +297,7 @@
         m_handlers.answered(taken.changed);
     tell(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
     Source &source = *m_sources.find(address);
-    source.seated = answer.seated;
+    source.hasSlot = answer.hasSlot;
     if (!taken.fresh) {
         stale(source);
         return;
@@ -316,12 +316,12 @@
 {
     from.failedAt = m_ports.now();
     from.sentOnAt = from.failedAt;
-    m_promised = m_promised || !answer.blank;
+    m_promised = m_promised || !answer.isEmpty;
     for (const PeerReferral &named : answer.redirect) {
         if (named.address != m_identity.address && !named.address.isNull())
             m_sources.add(named);
     }
-    if (answer.blank)
+    if (answer.isEmpty)
         noCopyYet();
 }
 
@@ -361,10 +361,10 @@
     }
     // Back to the one that has a place for this daemon: only from there it looks at the store.
     const Source *home = m_sources.find(m_source);
-    if (!home || !home->root || !home->staleAt || !home->seated)
+    if (!home || !home->root || !home->staleAt || !home->hasSlot)
         home = m_sources.find(address);
     m_source = home->address;
-    setState(home->seated ? PeerState::Stale : PeerState::Waiting);
+    setState(home->hasSlot ? PeerState::Stale : PeerState::Waiting);
     m_handlers.answered(false);
     askAt(m_source);
 }
@@ -376,7 +376,7 @@
     if (m_source == address)
         m_source = Endpoint{};
     m_promised = false;
-    if (blank()
+    if (isEmpty()
         && m_ports.now() - m_startedAt >= std::max(m_settings.patience, m_settings.headStart))
         setState(PeerState::Lost);
     judge();
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -135,7 +135,7 @@
         Look, ///< Are the copies there out of date too?
     };
 
-    [[nodiscard]] bool blank() const { return !m_copies.complete(); }
+    [[nodiscard]] bool isEmpty() const { return !m_copies.complete(); }
     /// \brief Callers wait: the store has to be asked too, unless a peer is about to bring a copy.
     void askStoreToo(TimePoint startedAt);
     /// \brief Takes the peers for lost, or stale, once every source has failed.
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -26,7 +26,7 @@
 {
     std::vector<CollectionQuery> collections;
     Duration wait{0}; ///< Longest wait where nothing is newer.
-    Endpoint asker;   ///< Where the asking daemon answers such questions itself.
+    Endpoint querier; ///< Where the asking daemon answers such questions itself.
     std::string domain;
     /// Since the store confirmed the older one of the asking daemon's copies; nothing where one is
     /// missing. One that is younger than the copies of the daemon that is asked may help that one.
@@ -35,7 +35,7 @@
     Endpoint origin;
     std::uint64_t heartbeat = 0;
     /// Only a look: to be answered at once, and to take no seat.
-    bool look = false;
+    bool oneShot = false;
     bool patches = false; ///< Large values may come as patches.
 
     /// \return Whether the asking daemon has no copy of one of the collections.
@@ -81,7 +81,7 @@
     std::vector<ValuePatch> patches; ///< Objects that are part of the delta besides.
     /// Since the store came back from being away, where that was lately: what lapsed meanwhile may
     /// register again.
-    std::optional<Duration> sinceReturn;
+    std::optional<Duration> sinceStoreReturn;
 };
 
 /// \brief A daemon that has its copies from the answering one.
@@ -104,8 +104,8 @@
     /// The asking daemon is one of the few that the answering one answers while all is well. While
     /// the copy is out of date everybody is answered, and only these look at the store for
     /// themselves.
-    bool seated = true;
-    bool blank = false; ///< It has no copies itself yet, and waits for them.
+    bool hasSlot = true;
+    bool isEmpty = false; ///< It has no copies itself yet, and waits for them.
     /// Daemons that have their copies from this one, which answers enough already.
     std::vector<PeerReferral> redirect;
 };
--- a/src/core/directory/source_list.h
+++ b/src/core/directory/source_list.h
@@ -18,7 +18,7 @@
     std::optional<TimePoint> failedAt;
     std::optional<TimePoint> sentOnAt; ///< It had no place, and named others.
     std::optional<TimePoint> staleAt;  ///< Its copy was out of date.
-    bool seated = false;               ///< It answers this daemon while all is well.
+    bool hasSlot = false;              ///< It answers this daemon while all is well.
     bool root = true;                  ///< Named by the settings, not by another daemon.
 };
 
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -48,7 +48,7 @@
     return oldest;
 }
 
-std::optional<Duration> ViewRelay::sinceReturn(const CollectionCopy &copy) const
+std::optional<Duration> ViewRelay::sinceStoreReturn(const CollectionCopy &copy) const
 {
     const auto returned = copy.storeReturnedAt();
     if (!returned || m_ports.now() - *returned > ReturnIsNews)
@@ -76,8 +76,8 @@
     }
     const bool stale = *age > m_settings.staleAfter;
     if (stale && question.age && *question.age <= m_settings.staleAfter)
-        m_ports.fresher(question.asker);
-    if (!question.look && sendOn(question, false, reply))
+        m_ports.fresher(question.querier);
+    if (!question.oneShot && sendOn(question, false, reply))
         return;
     if (hasNews(question) || question.wait <= Duration{0})
         reply(answer(question));
@@ -105,11 +105,11 @@
 void ViewRelay::askBlank(const PeerQuery &question, Reply reply)
 {
     if (!question.lacksCopy()) {
-        m_ports.fresher(question.asker);
+        m_ports.fresher(question.querier);
         reply(std::nullopt);
         return;
     }
-    if (question.look) {
+    if (question.oneShot) {
         reply(std::nullopt);
         return;
     }
@@ -117,7 +117,7 @@
         hold(question, std::move(reply));
 }
 
-bool ViewRelay::sendOn(const PeerQuery &question, bool blank, const Reply &reply)
+bool ViewRelay::sendOn(const PeerQuery &question, bool isEmpty, const Reply &reply)
 {
     std::vector<PeerReferral> elsewhere = redirect(question);
     if (elsewhere.empty())
@@ -125,7 +125,7 @@
     turnAway();
     PeerAnswer answer;
     answer.domain = m_domain;
-    answer.blank = blank;
+    answer.isEmpty = isEmpty;
     answer.redirect = std::move(elsewhere);
     reply(std::move(answer));
     return true;
@@ -182,14 +182,14 @@
     const TimePoint now = m_ports.now();
     std::erase_if(m_sentHome,
                   [&](const auto &item) { return now - item.second > m_settings.followerTimeout; });
-    if (question.domain == m_domain || m_ports.isRoot(question.asker))
+    if (question.domain == m_domain || m_ports.isRoot(question.querier))
         return std::nullopt;
-    if (m_followers.contains(question.asker))
+    if (m_followers.contains(question.querier))
         return std::nullopt;
     const auto root = rootIn(question.domain);
     if (!root)
         return std::nullopt;
-    const auto sent = m_sentHome.emplace(question.asker, now).first;
+    const auto sent = m_sentHome.emplace(question.querier, now).first;
     return now - sent->second < TryTime ? root : std::nullopt;
 }
 
@@ -211,9 +211,9 @@
         = std::count_if(m_followers.begin(), m_followers.end(),
                         [this](const auto &item) { return !m_ports.isRoot(item.first); });
     const bool full = static_cast<std::size_t>(taken) >= m_settings.maxFollowers;
-    if (full && !m_followers.contains(question.asker) && !m_ports.isRoot(question.asker))
+    if (full && !m_followers.contains(question.querier) && !m_ports.isRoot(question.querier))
         return false;
-    Follower &follower = m_followers[question.asker];
+    Follower &follower = m_followers[question.querier];
     follower.seenAt = now;
     follower.domain = question.domain;
     return true;
@@ -249,9 +249,9 @@
     PeerAnswer answer;
     answer.domain = m_domain;
     answer.lineage = m_ports.lineage();
-    answer.seated = m_followers.contains(question.asker);
-    answer.blank = !complete(question);
-    if (answer.blank)
+    answer.hasSlot = m_followers.contains(question.querier);
+    answer.isEmpty = !complete(question);
+    if (answer.isEmpty)
         return answer;
     const auto age = ageOf(question);
     if (!age)
@@ -261,7 +261,7 @@
         const CollectionCopy &copy = *m_copies.at(each.prefix);
         CollectionAnswer &out = answer.collections.emplace_back();
         out.delta = copy.since(each.after);
-        out.sinceReturn = sinceReturn(copy);
+        out.sinceStoreReturn = sinceStoreReturn(copy);
         if (question.patches)
             m_patches.apply(copy, each.after, out);
     }
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -89,12 +89,12 @@
     /// since the process stood still it may be older than what the asking daemon could read itself.
     [[nodiscard]] std::optional<Duration> ageOf(const PeerQuery &question) const;
     /// \return Since the store came back, where other daemons have to know that.
-    [[nodiscard]] std::optional<Duration> sinceReturn(const CollectionCopy &copy) const;
+    [[nodiscard]] std::optional<Duration> sinceStoreReturn(const CollectionCopy &copy) const;
     [[nodiscard]] bool hasNews(const PeerQuery &question) const;
     /// \brief Answers one that asks while there is nothing here.
     void askBlank(const PeerQuery &question, Reply reply);
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
-    [[nodiscard]] bool sendOn(const PeerQuery &question, bool blank, const Reply &reply);
+    [[nodiscard]] bool sendOn(const PeerQuery &question, bool isEmpty, const Reply &reply);
     void turnAway();
     void hold(const PeerQuery &question, Reply reply);
     [[nodiscard]] PeerReply answer(const PeerQuery &question);
--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -126,8 +126,8 @@
         out["complete"] = true;
     if (change.afterOutage)
         out["after_outage"] = true;
-    if (answer.sinceReturn)
-        out["since_return_us"] = micros(*answer.sinceReturn);
+    if (answer.sinceStoreReturn)
+        out["since_return_us"] = micros(*answer.sinceStoreReturn);
     if (!change.removed.empty())
         out["removed"] = json::value_from(change.removed);
     for (const ValuePatch &patch : answer.patches)
@@ -148,7 +148,7 @@
     answer.delta.complete = flagOf(in, "complete", false);
     change.afterOutage = flagOf(in, "after_outage", false);
     if (const json::value *since = in.if_contains("since_return_us"))
-        answer.sinceReturn = Duration{since->to_number<std::uint32_t>()};
+        answer.sinceStoreReturn = Duration{since->to_number<std::uint32_t>()};
     if (const json::value *removed = in.if_contains("removed"))
         change.removed = json::value_to<std::vector<std::string>>(*removed);
     if (const json::value *patches = in.if_contains("patches"))
@@ -223,7 +223,7 @@
 // control may take.
 std::string toJson(const PeerQuery &question)
 {
-    json::object out{{"asker", textOf(question.asker)}, {"domain", question.domain}};
+    json::object out{{"asker", textOf(question.querier)}, {"domain", question.domain}};
     appendAll(out, question.collections);
     if (question.wait > Duration{0})
         out["wait_us"] = micros(question.wait);
@@ -233,7 +233,7 @@
         out["origin"] = textOf(question.origin);
         out["pulse"] = question.heartbeat;
     }
-    if (question.look)
+    if (question.oneShot)
         out["look"] = true;
     if (question.patches)
         out["patches"] = true;
@@ -243,13 +243,13 @@
 std::string toJson(const PeerAnswer &answer)
 {
     json::object out{{"domain", answer.domain}, {"age_us", micros(answer.age)}};
-    if (answer.blank)
+    if (answer.isEmpty)
         out["blank"] = true;
     if (!answer.redirect.empty()) {
         appendNamed(out, answer.redirect);
         return json::serialize(out);
     }
-    if (!answer.seated)
+    if (!answer.hasSlot)
         out["seated"] = false;
     if (!answer.lineage.path.empty())
         out["path"] = listOf(answer.lineage.path);
@@ -266,7 +266,7 @@
     return parsed<PeerQuery>(text, [](const json::object &root) {
         PeerQuery question;
         question.collections = readAll(root, collectionQuestionOf);
-        question.asker = endpointOf(root.at("asker"));
+        question.querier = endpointOf(root.at("asker"));
         question.domain = textOf(root.at("domain"));
         if (const json::value *wait = root.if_contains("wait_us"))
             question.wait = Duration{wait->to_number<std::uint32_t>()};
@@ -276,7 +276,7 @@
             question.origin = endpointOf(*origin);
             question.heartbeat = root.at("pulse").to_number<std::uint64_t>();
         }
-        question.look = flagOf(root, "look", false);
+        question.oneShot = flagOf(root, "look", false);
         question.patches = flagOf(root, "patches", false);
         return question;
     });
@@ -288,19 +288,19 @@
         PeerAnswer answer;
         answer.domain = textOf(root.at("domain"));
         answer.age = Duration{root.at("age_us").to_number<std::int64_t>()};
-        answer.blank = flagOf(root, "blank", false);
+        answer.isEmpty = flagOf(root, "blank", false);
         if (const json::value *redirect = root.if_contains("redirect")) {
             answer.redirect = namedOf(*redirect, root.if_contains("domains"));
             return answer;
         }
-        answer.seated = flagOf(root, "seated", true);
+        answer.hasSlot = flagOf(root, "seated", true);
         if (const json::value *path = root.if_contains("path"))
             answer.lineage.path = endpointsOf(*path);
         if (const json::value *origin = root.if_contains("origin")) {
             answer.lineage.origin = endpointOf(*origin);
             answer.lineage.heartbeat = root.at("pulse").to_number<std::uint64_t>();
         }
-        if (!answer.blank)
+        if (!answer.isEmpty)
             answer.collections = readAll(root, collectionAnswerOf);
         return answer;
     });
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -83,7 +83,7 @@
         PeerAnswer answer;
         answer.domain = "d0";
         answer.lineage = {{Root}, Root, 1};
-        answer.blank = true;
+        answer.isEmpty = true;
         return answer;
     }
 
@@ -91,7 +91,7 @@
     {
         PeerAnswer answer;
         answer.domain = "d0";
-        answer.blank = fromEmpty;
+        answer.isEmpty = fromEmpty;
         answer.redirect = {{Follower, "d0"}};
         return answer;
     }
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -29,11 +29,11 @@
     }
 
     /// \return What a daemon of d1 that has the copy is answered.
-    PeerAnswer ask(const Endpoint &asker)
+    PeerAnswer ask(const Endpoint &querier)
     {
         PeerQuery question;
         question.collections = {{"targets/", ObjectVersion{3}}};
-        question.asker = asker;
+        question.querier = querier;
         question.domain = "d1";
         PeerReply reply;
         relay.ask(question, [&reply](const PeerReply &answer) { reply = answer; });
@@ -55,7 +55,7 @@
     cr_assert(root.ask(Asker).redirect == expected);
     root.now += 400ms;
     cr_assert(root.ask(Asker).redirect.empty());
-    cr_assert(root.ask(Asker).seated);
+    cr_assert(root.ask(Asker).hasSlot);
 }
 
 // The root of d1 has not been heard of for a while: it may be gone, and nobody is sent there.
@@ -84,16 +84,16 @@
         {[this] { return now; },
          [this](Duration, std::function<void()> call) { timers.push_back(std::move(call)); },
          [] { return Lineage{}; }, [](const Endpoint &) { return false; },
-         [this](const Endpoint &asker) { offered.push_back(asker); },
+         [this](const Endpoint &querier) { offered.push_back(querier); },
          [this](const TurningAway &turning) { turnings.push_back(turning); }}};
 
     BlankDaemon() { relay.add("targets/", copy); }
 
-    void ask(const Endpoint &asker, std::uint64_t after, std::vector<PeerReply> &replies)
+    void ask(const Endpoint &querier, std::uint64_t after, std::vector<PeerReply> &replies)
     {
         PeerQuery question;
         question.collections = {{"targets/", ObjectVersion{after}}};
-        question.asker = asker;
+        question.querier = querier;
         question.domain = "d0";
         question.wait = 1s;
         relay.ask(question, [&replies](const PeerReply &answer) { replies.push_back(answer); });
@@ -118,7 +118,7 @@
     cr_assert(replies.empty());
     root.ask(daemonAt(4), 0, replies);
     cr_assert_eq(replies.size(), 1);
-    cr_assert(!replies.front()->redirect.empty() && replies.front()->blank);
+    cr_assert(!replies.front()->redirect.empty() && replies.front()->isEmpty);
     (void)root.copy.applySnapshot({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3},
                                   false);
     root.copy.confirm(root.now);
@@ -134,7 +134,7 @@
     root.ask(daemonAt(1), 0, replies);
     root.timers.at(0)();
     cr_assert_eq(replies.size(), 1);
-    cr_assert(replies.front()->blank && replies.front()->collections.empty());
+    cr_assert(replies.front()->isEmpty && replies.front()->collections.empty());
 }
 
 // The daemon lost its copy with its power while the store is away; one that kept its own asks.
--- a/tests/support/fake_control_net.h
+++ b/tests/support/fake_control_net.h
@@ -47,11 +47,11 @@
     /// Whether a datagram from this node is lost, beside the loss at random.
     std::function<bool(NodeIndex from, NodeIndex to, const PeerMessage &)> drop;
     /// Whether a fetch gets no answer.
-    std::function<bool(NodeIndex asker, NodeIndex server)> dropFetch;
+    std::function<bool(NodeIndex querier, NodeIndex server)> dropFetch;
     std::array<std::uint64_t, CallKindCount> calls{};
     std::vector<Notice> notices;
     /// Sees what a peer answers to a fetch.
-    std::function<void(NodeIndex server, NodeIndex asker, const RecordsMessage &)> observeAnswer;
+    std::function<void(NodeIndex server, NodeIndex querier, const RecordsMessage &)> observeAnswer;
     /// Runs the handling of one event by a node; for measurements.
     std::function<void(NodeIndex, const std::function<void()> &)> around;
 
--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -15,7 +15,7 @@
     answer.domain = "alx-raml";
     answer.age = 1500ms;
     answer.lineage = {{Follower, Root}, Root, 17};
-    answer.seated = false;
+    answer.hasSlot = false;
     CollectionAnswer routes;
     routes.delta.change.version = ObjectVersion{5};
     CollectionAnswer targets;
@@ -23,7 +23,7 @@
     targets.delta.change.written = {{"targets/1", "ready", ObjectVersion{8}}};
     targets.delta.change.removed = {"targets/2"};
     targets.delta.change.afterOutage = true;
-    targets.sinceReturn = 1200ms;
+    targets.sinceStoreReturn = 1200ms;
     answer.collections = {routes, targets};
     return answer;
 }
@@ -35,12 +35,12 @@
     PeerQuery question;
     question.collections = {{"routes/", ObjectVersion{6}}, {"targets/", ObjectVersion{7}}};
     question.wait = 1s;
-    question.asker = Follower;
+    question.querier = Follower;
     question.domain = "alx-agami";
     question.age = 300ms;
     question.origin = Root;
     question.heartbeat = 12;
-    question.look = true;
+    question.oneShot = true;
     const auto read = wire::parseQuestion(wire::toJson(question));
     cr_assert(read.has_value());
     cr_assert_eq(read->collections.size(), 2);
@@ -49,9 +49,9 @@
     cr_assert_eq(read->collections.at(1).prefix, "targets/");
     cr_assert_eq(read->collections.at(1).after.value(), 7);
     cr_assert(read->wait == 1s && read->age == 300ms);
-    cr_assert(read->asker == Follower && read->origin == Root);
+    cr_assert(read->querier == Follower && read->origin == Root);
     cr_assert_eq(read->heartbeat, 12);
-    cr_assert(read->look);
+    cr_assert(read->oneShot);
 }
 
 Test(viewForm, anAnswerBringsItsWayFromTheStore)
@@ -61,15 +61,15 @@
     cr_assert(read->lineage.path == std::vector<Endpoint>({Follower, Root}));
     cr_assert(read->lineage.origin == Root);
     cr_assert_eq(read->lineage.heartbeat, 17);
-    cr_assert(!read->seated);
+    cr_assert(!read->hasSlot);
     cr_assert_eq(read->collections.size(), 2);
     cr_assert_eq(read->collections.at(0).delta.change.version.value(), 5);
     const CollectionChange &targets = read->collections.at(1).delta.change;
     cr_assert_eq(targets.written.size(), 1);
     cr_assert(targets.removed == std::vector<std::string>{"targets/2"});
     cr_assert(targets.afterOutage);
-    cr_assert(!read->collections.at(0).sinceReturn.has_value());
-    cr_assert(read->collections.at(1).sinceReturn == 1200ms);
+    cr_assert(!read->collections.at(0).sinceStoreReturn.has_value());
+    cr_assert(read->collections.at(1).sinceStoreReturn == 1200ms);
 }
 
 // Daemons are replaced one after the other: some still speak without the way to the store. Their
@@ -101,11 +101,11 @@
 {
     PeerAnswer answer;
     answer.domain = "d";
-    answer.blank = true;
+    answer.isEmpty = true;
     answer.lineage = {{Follower, Root}, Root, 3};
     const auto read = wire::parseAnswer(wire::toJson(answer));
     cr_assert(read.has_value());
-    cr_assert(read->blank && read->collections.empty());
+    cr_assert(read->isEmpty && read->collections.empty());
     cr_assert_eq(read->lineage.heartbeat, 3);
 }
 
