--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// \brief Moves each patched object into the answer's written ones.
-[[nodiscard]] bool unpackOne(const CollectionCopy &copy, CollectionAnswer &answer)
+[[nodiscard]] bool resolveCollectionPatches(const CollectionCopy &copy, CollectionAnswer &answer)
 {
     for (const ValuePatch &patch : answer.patches) {
         const StoredObject *base = copy.find(patch.key);
@@ -62,7 +62,7 @@
     return oldest.value_or(ObjectVersion{});
 }
 
-std::vector<CollectionQuery> PeerCopies::question() const
+std::vector<CollectionQuery> PeerCopies::queries() const
 {
     std::vector<CollectionQuery> out;
     for (const SharedCollection &each : m_collections)
@@ -70,10 +70,10 @@
     return out;
 }
 
-bool PeerCopies::unpack(PeerAnswer &answer) const
+bool PeerCopies::resolvePatches(PeerAnswer &answer) const
 {
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
-        if (!unpackOne(*m_collections[index].copy, answer.collections[index]))
+        if (!resolveCollectionPatches(*m_collections[index].copy, answer.collections[index]))
             return false;
     }
     return true;
@@ -89,11 +89,11 @@
     }
 }
 
-AnswerTaken PeerCopies::take(const PeerAnswer &answer, Duration staleAfter, TimePoint now)
+CopyUpdate PeerCopies::apply(const PeerAnswer &answer, Duration staleAfter, TimePoint now)
 {
     const auto confirmed = confirmedAt();
     const bool ownIsFresh = confirmed && now - *confirmed <= staleAfter;
-    AnswerTaken taken;
+    CopyUpdate taken;
     bool behind = false;
     noteStoreReturn(answer, now);
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
--- a/src/core/directory/peer_copies.h
+++ b/src/core/directory/peer_copies.h
@@ -18,7 +18,7 @@
 };
 
 /// \brief What became of the copies by one answer.
-struct AnswerTaken
+struct CopyUpdate
 {
     bool changed = false;   ///< One of the copies is another one now.
     bool confirmed = false; ///< They are the answering daemon's, and as old.
@@ -40,14 +40,14 @@
     [[nodiscard]] std::optional<TimePoint> confirmedAt() const;
     /// \return The oldest version of those that are dated.
     [[nodiscard]] ObjectVersion version() const;
-    [[nodiscard]] std::vector<CollectionQuery> question() const;
+    [[nodiscard]] std::vector<CollectionQuery> queries() const;
 
     /// \brief Makes whole objects of the patches of an answer. \return False where one does not fit
     /// the copy that it is for.
-    [[nodiscard]] bool unpack(PeerAnswer &answer) const;
+    [[nodiscard]] bool resolvePatches(PeerAnswer &answer) const;
     /// \brief Takes an answer to question(); one that is stale is taken too, where it is newer.
     /// \param staleAfter Age at which a copy is no longer relied on.
-    [[nodiscard]] AnswerTaken take(const PeerAnswer &answer, Duration staleAfter, TimePoint now);
+    [[nodiscard]] CopyUpdate apply(const PeerAnswer &answer, Duration staleAfter, TimePoint now);
 
 private:
     /// \brief Takes what the answer says of the store's having been away.
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -103,9 +103,9 @@
     return std::clamp(left + ShortestWait, ShortestWait, m_settings.wait);
 }
 
-Duration PeerFeed::waitOf(Question kind, const Endpoint &source) const
+Duration PeerFeed::waitOf(QueryKind kind, const Endpoint &source) const
 {
-    if (kind == Question::Look)
+    if (kind == QueryKind::OneShot)
         return Duration{0};
     // A source that is not known to answer is not waited for.
     if (source != m_source)
@@ -124,7 +124,7 @@
     const TimePoint now = m_ports.now();
     if (const Source *source = m_sources.choose(m_source, now)) {
         if (m_rateLimiter.admit(now))
-            askAt(source->address);
+            sendQuery(source->address);
         else
             later(m_settings.retry);
         return;
@@ -135,25 +135,25 @@
     later(m_backoff.next(m_random, Duration{0}));
 }
 
-PeerQuery PeerFeed::question(Question kind, const Endpoint &source) const
+PeerQuery PeerFeed::makeQuery(QueryKind kind, const Endpoint &source) const
 {
-    PeerQuery question;
-    question.oneShot = kind == Question::Look;
-    question.collections = m_copies.question();
-    question.patches = m_takesPatches;
-    question.querier = m_identity.address;
-    question.domain = m_identity.domain;
-    question.origin = m_lineage.origin;
-    question.heartbeat = m_lineage.heartbeat;
+    PeerQuery query;
+    query.oneShot = kind == QueryKind::OneShot;
+    query.collections = m_copies.queries();
+    query.patches = m_takesPatches;
+    query.querier = m_identity.address;
+    query.domain = m_identity.domain;
+    query.origin = m_lineage.origin;
+    query.heartbeat = m_lineage.heartbeat;
     if (const auto confirmed = m_copies.confirmedAt())
-        question.age = m_ports.now() - *confirmed;
-    question.wait = waitOf(kind, source);
-    return question;
+        query.age = m_ports.now() - *confirmed;
+    query.wait = waitOf(kind, source);
+    return query;
 }
 
-void PeerFeed::askAt(const Endpoint &source, Question kind)
+void PeerFeed::sendQuery(const Endpoint &source, QueryKind kind)
 {
-    const PeerQuery asked = question(kind, source);
+    const PeerQuery asked = makeQuery(kind, source);
     const QueryReport end{source, m_copies.version(), asked.wait};
     m_ports.ask(source, asked, timeoutsFor(asked.wait),
                 [this, end, askedAt = m_ports.now(), kind, run = std::weak_ptr{m_run},
@@ -181,7 +181,7 @@
 {
     for (const Endpoint &root : m_sources.roots()) {
         if (root != m_source)
-            m_ports.ask(root, question(Question::Look, root), timeoutsFor(Duration{0}),
+            m_ports.ask(root, makeQuery(QueryKind::OneShot, root), timeoutsFor(Duration{0}),
                         [](const PeerResult &) {});
     }
 }
@@ -198,7 +198,7 @@
     m_suggestedAt = now;
     m_sources.add({fresher, std::nullopt});
     ++*m_run;
-    askAt(fresher);
+    sendQuery(fresher);
 }
 
 bool PeerFeed::isLinked() const
@@ -223,7 +223,7 @@
     return path.size() > MostHops ? "its copy comes over too many daemons" : "";
 }
 
-void PeerFeed::onResult(QueryReport end, Question kind, PeerResult result)
+void PeerFeed::onResult(QueryReport end, QueryKind kind, PeerResult result)
 {
     const Endpoint address = end.source;
     Source *source = m_sources.find(address);
@@ -249,7 +249,7 @@
         return;
     }
     // A look changes nothing of where the copies come from: followers would hear of another origin.
-    if (kind != Question::Look)
+    if (kind != QueryKind::OneShot)
         m_lineage = reply->lineage;
     m_heartbeats.observe(reply->lineage, m_ports.now());
     if (reply->isEmpty)
@@ -272,27 +272,27 @@
     if (end.wait > Duration{0} && end.took < ShortestBlankWait)
         later(m_backoff.next(m_random, Duration{0}));
     else
-        askAt(end.source);
+        sendQuery(end.source);
 }
 
-void PeerFeed::onAnswer(QueryReport end, Question kind, PeerAnswer &answer)
+void PeerFeed::onAnswer(QueryReport end, QueryKind kind, PeerAnswer &answer)
 {
     const Endpoint address = end.source;
-    if (answer.collections.size() != m_copies.question().size()) {
+    if (answer.collections.size() != m_copies.queries().size()) {
         end.why = "it answers for one collection at a time, as an older release";
         tell(std::move(end), QueryOutcome::Unanswered);
         failed(address);
         return;
     }
-    if (!m_copies.unpack(answer)) {
+    if (!m_copies.resolvePatches(answer)) {
         end.why = "a patch does not fit the copy; the whole value is asked for";
         tell(std::move(end), QueryOutcome::PatchMismatch);
         m_takesPatches = false;
-        askAt(address, kind);
+        sendQuery(address, kind);
         return;
     }
     m_takesPatches = true;
-    const AnswerTaken taken = m_copies.take(answer, m_settings.staleAfter, m_ports.now());
+    const CopyUpdate taken = m_copies.apply(answer, m_settings.staleAfter, m_ports.now());
     if (taken.changed || taken.confirmed)
         m_handlers.answered(taken.changed);
     tell(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
@@ -339,7 +339,7 @@
         m_source = source.address;
         setState(PeerState::Waiting);
         m_handlers.answered(false);
-        askAt(m_source);
+        sendQuery(m_source);
         return;
     }
     m_sources.forgetNamed();
@@ -356,7 +356,7 @@
     root.failedAt.reset();
     m_sources.forgetNamed();
     if (const Source *untried = m_sources.untriedRoot(now)) {
-        askAt(untried->address, Question::Look);
+        sendQuery(untried->address, QueryKind::OneShot);
         return;
     }
     // Back to the one that has a place for this daemon: only from there it looks at the store.
@@ -366,7 +366,7 @@
     m_source = home->address;
     setState(home->hasSlot ? PeerState::Stale : PeerState::Waiting);
     m_handlers.answered(false);
-    askAt(m_source);
+    sendQuery(m_source);
 }
 
 void PeerFeed::failed(const Endpoint &address)
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -63,7 +63,7 @@
     std::function<TimePoint()> now;
     std::function<void(Duration, std::function<void()>)> after;
     /// Asks a peer; the handler is called once, later, within \a limits.
-    std::function<void(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits,
+    std::function<void(const Endpoint &peer, const PeerQuery &query, const QueryTimeouts &limits,
                        std::function<void(PeerResult)>)>
         ask;
     std::function<void(const QueryReport &)> ended{}; ///< Told of each question; may be empty.
@@ -130,9 +130,9 @@
     [[nodiscard]] bool isLinked() const;
 
 private:
-    enum class Question {
-        Usual,
-        Look, ///< Are the copies there out of date too?
+    enum class QueryKind {
+        Normal,
+        OneShot, ///< Are the copies there out of date too?
     };
 
     [[nodiscard]] bool isEmpty() const { return !m_copies.complete(); }
@@ -140,19 +140,19 @@
     void askStoreToo(TimePoint startedAt);
     /// \brief Takes the peers for lost, or stale, once every source has failed.
     void judge();
-    [[nodiscard]] Duration waitOf(Question kind, const Endpoint &source) const;
+    [[nodiscard]] Duration waitOf(QueryKind kind, const Endpoint &source) const;
     [[nodiscard]] Duration longestWait() const;
     [[nodiscard]] QueryTimeouts timeoutsFor(Duration wait) const;
     void ask();
-    [[nodiscard]] PeerQuery question(Question kind, const Endpoint &source) const;
-    void askAt(const Endpoint &source, Question kind = Question::Usual);
-    void onResult(QueryReport end, Question kind, PeerResult result);
+    [[nodiscard]] PeerQuery makeQuery(QueryKind kind, const Endpoint &source) const;
+    void sendQuery(const Endpoint &source, QueryKind kind = QueryKind::Normal);
+    void onResult(QueryReport end, QueryKind kind, PeerResult result);
     /// \return Why the answer is no use; empty where it is.
     [[nodiscard]] std::string refusal(const PeerAnswer &answer) const;
     /// \brief A source has no copy itself: the store has to be asked, where callers wait.
     void noCopyYet();
     void onBlank(const QueryReport &end);
-    void onAnswer(QueryReport end, Question kind, PeerAnswer &answer);
+    void onAnswer(QueryReport end, QueryKind kind, PeerAnswer &answer);
     void tell(QueryReport end, QueryOutcome outcome) const;
     void redirect(Source &from, const PeerAnswer &answer);
     void failed(const Endpoint &source);
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -27,17 +27,17 @@
 {
 }
 
-bool ViewRelay::complete(const PeerQuery &question) const
+bool ViewRelay::complete(const PeerQuery &query) const
 {
     return std::all_of(
-        question.collections.begin(), question.collections.end(),
+        query.collections.begin(), query.collections.end(),
         [this](const CollectionQuery &each) { return m_copies.at(each.prefix)->complete(); });
 }
 
-std::optional<Duration> ViewRelay::ageOf(const PeerQuery &question) const
+std::optional<Duration> ViewRelay::ageOf(const PeerQuery &query) const
 {
     Duration oldest{0};
-    for (const CollectionQuery &each : question.collections) {
+    for (const CollectionQuery &each : query.collections) {
         if (!m_copies.at(each.prefix)->confirmedByAge())
             continue;
         const auto confirmed = m_copies.at(each.prefix)->confirmedAt();
@@ -56,45 +56,45 @@
     return m_ports.now() - *returned;
 }
 
-void ViewRelay::ask(const PeerQuery &question, Reply reply)
+void ViewRelay::ask(const PeerQuery &query, Reply reply)
 {
     const bool known = std::all_of(
-        question.collections.begin(), question.collections.end(),
+        query.collections.begin(), query.collections.end(),
         [this](const CollectionQuery &each) { return m_copies.contains(each.prefix); });
-    if (!known || question.collections.empty()) {
+    if (!known || query.collections.empty()) {
         reply(std::nullopt);
         return;
     }
-    if (!complete(question)) {
-        askBlank(question, std::move(reply));
+    if (!complete(query)) {
+        askBlank(query, std::move(reply));
         return;
     }
-    const auto age = ageOf(question);
+    const auto age = ageOf(query);
     if (!age) {
         reply(std::nullopt);
         return;
     }
     const bool stale = *age > m_settings.staleAfter;
-    if (stale && question.age && *question.age <= m_settings.staleAfter)
-        m_ports.fresher(question.querier);
-    if (!question.oneShot && sendOn(question, false, reply))
+    if (stale && query.age && *query.age <= m_settings.staleAfter)
+        m_ports.fresher(query.querier);
+    if (!query.oneShot && sendOn(query, false, reply))
         return;
-    if (hasNews(question) || question.wait <= Duration{0})
-        reply(answer(question));
+    if (hasNews(query) || query.wait <= Duration{0})
+        reply(answer(query));
     else
-        hold(question, std::move(reply));
+        hold(query, std::move(reply));
 }
 
-bool ViewRelay::hasNews(const PeerQuery &question) const
+bool ViewRelay::hasNews(const PeerQuery &query) const
 {
-    if (question.lacksCopy())
+    if (query.lacksCopy())
         return true;
     // One that asks a moment after the others were told would hear a whole wait later, at each hop.
     const Lineage lineage = m_ports.lineage();
-    if (!lineage.origin.isNull() && lineage.origin == question.origin
-        && lineage.heartbeat >= question.heartbeat + MinHeartbeatAdvance)
+    if (!lineage.origin.isNull() && lineage.origin == query.origin
+        && lineage.heartbeat >= query.heartbeat + MinHeartbeatAdvance)
         return true;
-    return std::any_of(question.collections.begin(), question.collections.end(),
+    return std::any_of(query.collections.begin(), query.collections.end(),
                        [this](const CollectionQuery &each) {
                            return m_copies.at(each.prefix)->changedSince(each.after);
                        });
@@ -102,24 +102,24 @@
 
 // Where all daemons start at once, those that ask take their places before there is anything to
 // give, and wait: sent away, hundreds would come again and again.
-void ViewRelay::askBlank(const PeerQuery &question, Reply reply)
+void ViewRelay::askBlank(const PeerQuery &query, Reply reply)
 {
-    if (!question.lacksCopy()) {
-        m_ports.fresher(question.querier);
+    if (!query.lacksCopy()) {
+        m_ports.fresher(query.querier);
         reply(std::nullopt);
         return;
     }
-    if (question.oneShot) {
+    if (query.oneShot) {
         reply(std::nullopt);
         return;
     }
-    if (!sendOn(question, true, reply))
-        hold(question, std::move(reply));
+    if (!sendOn(query, true, reply))
+        hold(query, std::move(reply));
 }
 
-bool ViewRelay::sendOn(const PeerQuery &question, bool isEmpty, const Reply &reply)
+bool ViewRelay::sendOn(const PeerQuery &query, bool isEmpty, const Reply &reply)
 {
-    std::vector<PeerReferral> elsewhere = redirect(question);
+    std::vector<PeerReferral> elsewhere = redirect(query);
     if (elsewhere.empty())
         return false;
     turnAway();
@@ -154,11 +154,11 @@
         m_ports.turnsAway(ended);
 }
 
-void ViewRelay::hold(const PeerQuery &question, Reply reply)
+void ViewRelay::hold(const PeerQuery &query, Reply reply)
 {
     const std::uint64_t id = ++m_lastId;
-    m_waiting.push_back({id, question, std::move(reply)});
-    m_ports.after(std::min(question.wait, m_settings.longestWait),
+    m_waiting.push_back({id, query, std::move(reply)});
+    m_ports.after(std::min(query.wait, m_settings.longestWait),
                   [this, id, alive = std::weak_ptr{m_alive}] {
                       if (!alive.expired())
                           timeOut(id);
@@ -177,30 +177,30 @@
 
 // Trees that stay within a failure domain outlive its being cut off, and don't cross the dear
 // links. One that comes back after a try can't reach the root of its own domain, and is taken here.
-std::optional<PeerReferral> ViewRelay::nearerRoot(const PeerQuery &question)
+std::optional<PeerReferral> ViewRelay::nearerRoot(const PeerQuery &query)
 {
     const TimePoint now = m_ports.now();
     std::erase_if(m_sentHome,
                   [&](const auto &item) { return now - item.second > m_settings.followerTimeout; });
-    if (question.domain == m_domain || m_ports.isRoot(question.querier))
+    if (query.domain == m_domain || m_ports.isRoot(query.querier))
         return std::nullopt;
-    if (m_followers.contains(question.querier))
+    if (m_followers.contains(query.querier))
         return std::nullopt;
-    const auto root = rootIn(question.domain);
+    const auto root = rootIn(query.domain);
     if (!root)
         return std::nullopt;
-    const auto sent = m_sentHome.emplace(question.querier, now).first;
+    const auto sent = m_sentHome.emplace(query.querier, now).first;
     return now - sent->second < TryTime ? root : std::nullopt;
 }
 
-std::vector<PeerReferral> ViewRelay::redirect(const PeerQuery &question)
+std::vector<PeerReferral> ViewRelay::redirect(const PeerQuery &query)
 {
-    if (const auto root = nearerRoot(question))
+    if (const auto root = nearerRoot(query))
         return {*root};
-    return admit(question) ? std::vector<PeerReferral>{} : others(question.domain);
+    return admit(query) ? std::vector<PeerReferral>{} : others(query.domain);
 }
 
-bool ViewRelay::admit(const PeerQuery &question)
+bool ViewRelay::admit(const PeerQuery &query)
 {
     const TimePoint now = m_ports.now();
     std::erase_if(m_followers, [&](const auto &item) {
@@ -211,11 +211,11 @@
         = std::count_if(m_followers.begin(), m_followers.end(),
                         [this](const auto &item) { return !m_ports.isRoot(item.first); });
     const bool full = static_cast<std::size_t>(taken) >= m_settings.maxFollowers;
-    if (full && !m_followers.contains(question.querier) && !m_ports.isRoot(question.querier))
+    if (full && !m_followers.contains(query.querier) && !m_ports.isRoot(query.querier))
         return false;
-    Follower &follower = m_followers[question.querier];
+    Follower &follower = m_followers[query.querier];
     follower.seenAt = now;
-    follower.domain = question.domain;
+    follower.domain = query.domain;
     return true;
 }
 
@@ -244,25 +244,25 @@
     return named;
 }
 
-PeerReply ViewRelay::answer(const PeerQuery &question)
+PeerReply ViewRelay::answer(const PeerQuery &query)
 {
     PeerAnswer answer;
     answer.domain = m_domain;
     answer.lineage = m_ports.lineage();
-    answer.hasSlot = m_followers.contains(question.querier);
-    answer.isEmpty = !complete(question);
+    answer.hasSlot = m_followers.contains(query.querier);
+    answer.isEmpty = !complete(query);
     if (answer.isEmpty)
         return answer;
-    const auto age = ageOf(question);
+    const auto age = ageOf(query);
     if (!age)
         return std::nullopt;
     answer.age = *age;
-    for (const CollectionQuery &each : question.collections) {
+    for (const CollectionQuery &each : query.collections) {
         const CollectionCopy &copy = *m_copies.at(each.prefix);
         CollectionAnswer &out = answer.collections.emplace_back();
         out.delta = copy.since(each.after);
         out.sinceStoreReturn = sinceStoreReturn(copy);
-        if (question.patches)
+        if (query.patches)
             m_patches.apply(copy, each.after, out);
     }
     return answer;
@@ -273,8 +273,7 @@
     std::vector<Waiting> due;
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         // A copy is confirmed a moment after it came.
-        const bool waits
-            = !complete(it->question) || (it->question.lacksCopy() && !ageOf(it->question));
+        const bool waits = !complete(it->query) || (it->query.lacksCopy() && !ageOf(it->query));
         if (waits) {
             ++it;
             continue;
@@ -283,7 +282,7 @@
         it = m_waiting.erase(it);
     }
     for (const Waiting &waiting : due)
-        waiting.reply(answer(waiting.question));
+        waiting.reply(answer(waiting.query));
 }
 
 void ViewRelay::timeOut(std::uint64_t id)
@@ -294,7 +293,7 @@
         return;
     const Waiting waiting = std::move(*found);
     m_waiting.erase(found);
-    waiting.reply(answer(waiting.question));
+    waiting.reply(answer(waiting.query));
 }
 
 } // namespace baobabtrail
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -59,7 +59,7 @@
     /// \param copy Must outlive the relay.
     void add(const std::string &prefix, const CollectionCopy &copy) { m_copies[prefix] = &copy; }
     /// \param reply Called once, at once or later.
-    void ask(const PeerQuery &question, Reply reply);
+    void ask(const PeerQuery &query, Reply reply);
     /// \brief To be called about each second: notices when nobody is sent on any more.
     void expire();
     /// \brief A copy changed: answers those who wait for it.
@@ -73,7 +73,7 @@
     struct Waiting
     {
         std::uint64_t id = 0;
-        PeerQuery question;
+        PeerQuery query;
         Reply reply;
     };
     struct Follower
@@ -84,25 +84,25 @@
     };
 
     /// \return Whether all that is asked for is here.
-    [[nodiscard]] bool complete(const PeerQuery &question) const;
+    [[nodiscard]] bool complete(const PeerQuery &query) const;
     /// \return Since the older of the copies was confirmed; nothing where one can't be vouched for:
     /// since the process stood still it may be older than what the asking daemon could read itself.
-    [[nodiscard]] std::optional<Duration> ageOf(const PeerQuery &question) const;
+    [[nodiscard]] std::optional<Duration> ageOf(const PeerQuery &query) const;
     /// \return Since the store came back, where other daemons have to know that.
     [[nodiscard]] std::optional<Duration> sinceStoreReturn(const CollectionCopy &copy) const;
-    [[nodiscard]] bool hasNews(const PeerQuery &question) const;
+    [[nodiscard]] bool hasNews(const PeerQuery &query) const;
     /// \brief Answers one that asks while there is nothing here.
-    void askBlank(const PeerQuery &question, Reply reply);
+    void askBlank(const PeerQuery &query, Reply reply);
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
-    [[nodiscard]] bool sendOn(const PeerQuery &question, bool isEmpty, const Reply &reply);
+    [[nodiscard]] bool sendOn(const PeerQuery &query, bool isEmpty, const Reply &reply);
     void turnAway();
-    void hold(const PeerQuery &question, Reply reply);
-    [[nodiscard]] PeerReply answer(const PeerQuery &question);
-    [[nodiscard]] bool admit(const PeerQuery &question);
+    void hold(const PeerQuery &query, Reply reply);
+    [[nodiscard]] PeerReply answer(const PeerQuery &query);
+    [[nodiscard]] bool admit(const PeerQuery &query);
     [[nodiscard]] std::optional<PeerReferral> rootIn(const std::string &domain) const;
-    [[nodiscard]] std::optional<PeerReferral> nearerRoot(const PeerQuery &question);
+    [[nodiscard]] std::optional<PeerReferral> nearerRoot(const PeerQuery &query);
     /// \return Whom the asking daemon should ask instead; empty for nobody.
-    [[nodiscard]] std::vector<PeerReferral> redirect(const PeerQuery &question);
+    [[nodiscard]] std::vector<PeerReferral> redirect(const PeerQuery &query);
     [[nodiscard]] std::vector<PeerReferral> others(const std::string &domain);
     void timeOut(std::uint64_t id);
 
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -16,7 +16,7 @@
     struct Asked
     {
         Endpoint peer;
-        PeerQuery question;
+        PeerQuery query;
         QueryTimeouts limits;
         std::function<void(PeerReply)> done;
     };
@@ -48,9 +48,9 @@
         ports.after = [this](Duration wait, std::function<void()> call) {
             pauses.push_back({now + wait, std::move(call)});
         };
-        ports.ask = [this](const Endpoint &peer, const PeerQuery &question,
+        ports.ask = [this](const Endpoint &peer, const PeerQuery &query,
                            const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
-            asked.push_back({peer, question, limits, [done = std::move(done)](PeerReply reply) {
+            asked.push_back({peer, query, limits, [done = std::move(done)](PeerReply reply) {
                                  done({std::move(reply)});
                              }});
         };
@@ -119,13 +119,13 @@
 Test(peerFeed, aSourceWithoutACopyBringsNoVersion)
 {
     AskedFeed daemon;
-    cr_assert(daemon.asked.at(0).question.lacksCopy());
+    cr_assert(daemon.asked.at(0).query.lacksCopy());
     daemon.list(10);
     daemon.asked.at(0).done(AskedFeed::emptyAnswer());
     cr_assert_eq(daemon.copy.version().value(), 10);
     daemon.run(1s);
     cr_assert_eq(daemon.asked.size(), 2);
-    cr_assert_eq(daemon.asked.at(1).question.collections.at(0).after.value(), 10);
+    cr_assert_eq(daemon.asked.at(1).query.collections.at(0).after.value(), 10);
 }
 
 // Hundreds that start beside living daemons would each list the store, page after page.
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -53,7 +53,7 @@
 {
     struct Asked
     {
-        PeerQuery question;
+        PeerQuery query;
         std::function<void(PeerResult)> done;
     };
 
@@ -76,9 +76,9 @@
         PeerPorts ports;
         ports.now = [] { return TimePoint{1h}; };
         ports.after = [](Duration, const std::function<void()> &) {};
-        ports.ask = [this](const Endpoint &, const PeerQuery &question, const QueryTimeouts &,
+        ports.ask = [this](const Endpoint &, const PeerQuery &query, const QueryTimeouts &,
                            std::function<void(PeerResult)> done) {
-            asked.push_back({question, std::move(done)});
+            asked.push_back({query, std::move(done)});
         };
         return ports;
     }
@@ -130,10 +130,10 @@
     cr_assert_eq(patches.at(0).key, Key);
     cr_assert(patches.at(0).bytes == sent.collections.at(0).patches.at(0).bytes);
     cr_assert_eq(patches.at(0).version.value(), 20);
-    PeerQuery question;
-    question.collections = {{"routes/", ObjectVersion{10}}};
-    question.patches = true;
-    cr_assert(wire::parseQuestion(wire::toJson(question))->patches);
+    PeerQuery query;
+    query.collections = {{"routes/", ObjectVersion{10}}};
+    query.patches = true;
+    cr_assert(wire::parseQuestion(wire::toJson(query))->patches);
 }
 
 // A daemon listed the store between two versions that its source knows: the patch was made for a
@@ -142,14 +142,14 @@
 {
     const CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
     AskedRoutes daemon{copyOf({object(550, 15)})};
-    cr_assert(daemon.asked.at(0).question.patches);
+    cr_assert(daemon.asked.at(0).query.patches);
     daemon.asked.at(0).done({answerOf(source, 15, true)});
     cr_assert_eq(daemon.copy.version().value(), 15);
-    cr_assert_not(daemon.asked.at(1).question.patches);
+    cr_assert_not(daemon.asked.at(1).query.patches);
     daemon.asked.at(1).done({answerOf(source, 15, false)});
     cr_assert_eq(daemon.copy.version().value(), 20);
     cr_assert(daemon.copy.find(Key)->value == table(600));
-    cr_assert(daemon.asked.at(2).question.patches);
+    cr_assert(daemon.asked.at(2).query.patches);
 }
 
 // The source listed the store anew and can't tell what changed since the daemon's version, so that
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -31,12 +31,12 @@
     /// \return What a daemon of d1 that has the copy is answered.
     PeerAnswer ask(const Endpoint &querier)
     {
-        PeerQuery question;
-        question.collections = {{"targets/", ObjectVersion{3}}};
-        question.querier = querier;
-        question.domain = "d1";
+        PeerQuery query;
+        query.collections = {{"targets/", ObjectVersion{3}}};
+        query.querier = querier;
+        query.domain = "d1";
         PeerReply reply;
-        relay.ask(question, [&reply](const PeerReply &answer) { reply = answer; });
+        relay.ask(query, [&reply](const PeerReply &answer) { reply = answer; });
         cr_assert(reply.has_value());
         return *reply;
     }
@@ -91,12 +91,12 @@
 
     void ask(const Endpoint &querier, std::uint64_t after, std::vector<PeerReply> &replies)
     {
-        PeerQuery question;
-        question.collections = {{"targets/", ObjectVersion{after}}};
-        question.querier = querier;
-        question.domain = "d0";
-        question.wait = 1s;
-        relay.ask(question, [&replies](const PeerReply &answer) { replies.push_back(answer); });
+        PeerQuery query;
+        query.collections = {{"targets/", ObjectVersion{after}}};
+        query.querier = querier;
+        query.domain = "d0";
+        query.wait = 1s;
+        relay.ask(query, [&replies](const PeerReply &answer) { replies.push_back(answer); });
     }
 };
 
@@ -166,9 +166,9 @@
 Test(viewRelay, whatIsNotKnownHereIsNotAnswered)
 {
     RootOfD0 root;
-    PeerQuery question;
-    question.collections = {{"targets/", {}}, {"nothing/", {}}};
+    PeerQuery query;
+    query.collections = {{"targets/", {}}, {"nothing/", {}}};
     bool answered = false;
-    root.relay.ask(question, [&](const PeerReply &reply) { answered = reply.has_value(); });
+    root.relay.ask(query, [&](const PeerReply &reply) { answered = reply.has_value(); });
     cr_assert(!answered);
 }
