--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -21,7 +21,8 @@
 /// store was away or has dropped its watches.
 constexpr Duration EvacuationsWatch = 30s;
 
-[[nodiscard]] FeedSettings feedSettings(FeedSettings settings, Confirmation confirmation) noexcept
+[[nodiscard]] StoreFeedSettings feedSettings(StoreFeedSettings settings,
+                                             Confirmation confirmation) noexcept
 {
     if (confirmation == Confirmation::ByWatch)
         settings.watchWait = std::max(settings.watchWait, EvacuationsWatch);
@@ -45,7 +46,7 @@
               node.m_relay.changed();
               node.announceReady();
           },
-          [this, &node](const FeedContact &end) { node.onStoreContact(*this, end); })
+          [this, &node](const StoreCallResult &end) { node.onStoreContact(*this, end); })
 {
     node.m_relay.add(prefix, copy);
 }
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -99,8 +99,8 @@
 /// \brief What a DirectNode needs of its surroundings.
 struct DirectCallbacks
 {
-    FeedPorts feed;
-    PeerPorts peers;
+    StoreFeedCallbacks feed;
+    PeerFeedCallbacks peers;
     DirectoryReader reader;
     DirectObserver observer;
     std::function<void(const NodeNotice &)> onNotice; ///< May be empty.
@@ -117,8 +117,8 @@
 struct DirectNodeSettings
 {
     DirectSettings flows;
-    FeedSettings store;
-    PeerSettings peers;
+    StoreFeedSettings store;
+    PeerFeedSettings peers;
     RelaySettings relay;
 };
 
@@ -218,14 +218,14 @@
     void applyRoutes(const CollectionChange &change);
     void applyTargets(const CollectionChange &change);
     void applyEvacuations(const CollectionChange &change);
-    void onStoreContact(Collection &collection, const FeedContact &end);
+    void onStoreContact(Collection &collection, const StoreCallResult &end);
     void onPeerState(PeerState state);
     /// \brief The peers have answered for the copies.
     void onPeersAnswered(bool changed);
     void notifyFollowers();
     [[nodiscard]] ViewRelay::Ports relayPorts();
-    [[nodiscard]] PeerPorts peerPorts();
-    [[nodiscard]] PeerHandlers peerHandlers();
+    [[nodiscard]] PeerFeedCallbacks peerPorts();
+    [[nodiscard]] PeerFeedHandlers peerHandlers();
     [[nodiscard]] bool hasCopies() const noexcept;
     [[nodiscard]] bool storeConnected() const noexcept
     {
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -76,7 +76,7 @@
         set(key, false);
 }
 
-void DirectNode::onStoreContact(Collection &collection, const FeedContact &end)
+void DirectNode::onStoreContact(Collection &collection, const StoreCallResult &end)
 {
     if (end.historyGone)
         notice(HistoryLost{collection.name, collection.copy.version()});
@@ -138,14 +138,14 @@
             }};
 }
 
-PeerPorts DirectNode::peerPorts()
+PeerFeedCallbacks DirectNode::peerPorts()
 {
-    PeerPorts ports = m_callbacks.peers;
+    PeerFeedCallbacks ports = m_callbacks.peers;
     ports.ended = [this](const QueryReport &end) { notice(PeerQueryEnded{end}); };
     return ports;
 }
 
-PeerHandlers DirectNode::peerHandlers()
+PeerFeedHandlers DirectNode::peerHandlers()
 {
     return {[this](PeerState state) { onPeerState(state); },
             [this](bool changed) { onPeersAnswered(changed); }};
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -19,8 +19,9 @@
 
 } // namespace
 
-PeerFeed::PeerFeed(PeerSettings settings, PeerIdentity identity, PeerPorts ports, Random &random,
-                   std::vector<SharedCollection> collections, PeerHandlers handlers)
+PeerFeed::PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks ports,
+                   Random &random, std::vector<SharedCollection> collections,
+                   PeerFeedHandlers handlers)
     : m_settings(settings)
     , m_identity(std::move(identity))
     , m_ports(std::move(ports))
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -17,7 +17,7 @@
 namespace baobabtrail {
 
 /// \brief Times of a PeerFeed.
-struct PeerSettings
+struct PeerFeedSettings
 {
     /// One question: just longer than a root's watch, with whose end the answer comes by itself. A
     /// peer that died silently costs this and the timeout, and another one has to be asked within
@@ -58,7 +58,7 @@
 };
 
 /// \brief What a PeerFeed needs of its surroundings.
-struct PeerPorts
+struct PeerFeedCallbacks
 {
     std::function<TimePoint()> now;
     std::function<void(Duration, std::function<void()>)> after;
@@ -85,7 +85,7 @@
 };
 
 /// \brief Who is told of what a PeerFeed does.
-struct PeerHandlers
+struct PeerFeedHandlers
 {
     /// Each change of the state.
     std::function<void(PeerState)> contact;
@@ -102,8 +102,8 @@
 class PeerFeed
 {
 public:
-    PeerFeed(PeerSettings settings, PeerIdentity identity, PeerPorts ports, Random &random,
-             std::vector<SharedCollection> collections, PeerHandlers handlers);
+    PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks ports,
+             Random &random, std::vector<SharedCollection> collections, PeerFeedHandlers handlers);
     PeerFeed(const PeerFeed &) = delete;
     PeerFeed &operator=(const PeerFeed &) = delete;
 
@@ -162,12 +162,12 @@
     void setState(PeerState state);
     void later(Duration wait);
 
-    PeerSettings m_settings;
+    PeerFeedSettings m_settings;
     PeerIdentity m_identity;
-    PeerPorts m_ports;
+    PeerFeedCallbacks m_ports;
     Random &m_random;
     PeerCopies m_copies;
-    PeerHandlers m_handlers;
+    PeerFeedHandlers m_handlers;
     Backoff m_backoff;
     SourceList m_sources;
     QueryRateLimiter m_rateLimiter;
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-StoreFeed::StoreFeed(std::string prefix, FeedSettings settings, FeedPorts ports, Random &random,
-                     CollectionCopy &copy, Changed changed, Contact contact)
+StoreFeed::StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks ports,
+                     Random &random, CollectionCopy &copy, Changed changed, Contact contact)
     : m_prefix(std::move(prefix))
     , m_settings(settings)
     , m_ports(std::move(ports))
@@ -165,7 +165,7 @@
     m_dear = false;
     if (m_pagesVersion < m_copy.version()) {
         // A peer was faster, or the answer is older than what is in force.
-        m_contact(FeedContact{});
+        m_contact(StoreCallResult{});
         later(m_backoff.next(m_random, Duration{0}), &StoreFeed::list);
         return;
     }
@@ -173,7 +173,7 @@
     if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, justBack()))
         m_changed(*change);
     m_copy.confirm(asked);
-    m_contact(FeedContact{});
+    m_contact(StoreCallResult{});
     if (m_seldom)
         later(m_settings.seldomPause, &StoreFeed::watch);
     else
@@ -218,7 +218,7 @@
             {std::move(list->objects), std::move(list->removed), version, justBack()}))
         m_changed(*change);
     m_copy.confirm(m_ports.now());
-    m_contact(FeedContact{});
+    m_contact(StoreCallResult{});
     const bool tooShort = !confirmed && m_ports.now() - asked < ShortestWatch;
     if (changed || tooShort)
         later(m_settings.gather, &StoreFeed::watch);
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -14,7 +14,7 @@
 namespace baobabtrail {
 
 /// \brief Times of a StoreFeed.
-struct FeedSettings
+struct StoreFeedSettings
 {
     /// One watch. A store or a connection that ignores it silently costs this long and the call's
     /// timeout on top: together less than the three seconds after which a change has to be in
@@ -37,7 +37,7 @@
 };
 
 /// \brief What a feed needs of its surroundings; tests pass a virtual clock and a store of theirs.
-struct FeedPorts
+struct StoreFeedCallbacks
 {
     std::function<TimePoint()> now;
     /// Calls back later, never from within the call.
@@ -47,7 +47,7 @@
 };
 
 /// \brief How a call of a feed ended.
-struct FeedContact
+struct StoreCallResult
 {
     std::string failure;      ///< Empty for a success.
     bool historyGone = false; ///< The store no longer has the changes that a watch waited for.
@@ -63,12 +63,12 @@
 {
 public:
     using Changed = std::function<void(const CollectionChange &)>;
-    using Contact = std::function<void(const FeedContact &)>;
+    using Contact = std::function<void(const StoreCallResult &)>;
 
     /// \param prefix Prefix of the collection's keys. \param changed Called for each change and for
     /// the first complete list. \param contact Told of each end of a call.
-    StoreFeed(std::string prefix, FeedSettings settings, FeedPorts ports, Random &random,
-              CollectionCopy &copy, Changed changed, Contact contact);
+    StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks ports,
+              Random &random, CollectionCopy &copy, Changed changed, Contact contact);
     StoreFeed(const StoreFeed &) = delete;
     StoreFeed &operator=(const StoreFeed &) = delete;
 
@@ -99,8 +99,8 @@
     [[nodiscard]] bool justBack() const;
 
     std::string m_prefix;
-    FeedSettings m_settings;
-    FeedPorts m_ports;
+    StoreFeedSettings m_settings;
+    StoreFeedCallbacks m_ports;
     Random &m_random;
     CollectionCopy &m_copy;
     Changed m_changed;
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -20,7 +20,7 @@
     std::size_t maxFollowers = 4;
     Duration followerTimeout = 3500ms; ///< Of two questions in a row; then its place is free.
     Duration longestWait = 5s;         ///< Of one question, whatever it asks for.
-    /// Age beyond which a copy is answered from for everybody; as PeerSettings::staleAfter.
+    /// Age beyond which a copy is answered from for everybody; as PeerFeedSettings::staleAfter.
     Duration staleAfter = 2200ms;
 };
 
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -179,7 +179,7 @@
         reader.note("pingTimeout", "must be shorter than control.pingPeriod");
 }
 
-void readFeed(ObjectReader &reader, FeedSettings &out)
+void readFeed(ObjectReader &reader, StoreFeedSettings &out)
 {
     reader.duration("watchWait", out.watchWait, 100ms, 30s);
     reader.duration("gather", out.gather, 0s, 10s);
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -41,9 +41,9 @@
         feed.start({Root});
     }
 
-    [[nodiscard]] PeerPorts ports()
+    [[nodiscard]] PeerFeedCallbacks ports()
     {
-        PeerPorts ports;
+        PeerFeedCallbacks ports;
         ports.now = [this] { return now; };
         ports.after = [this](Duration wait, std::function<void()> call) {
             pauses.push_back({now + wait, std::move(call)});
--- a/tests/directory/store_feed_test.cpp
+++ b/tests/directory/store_feed_test.cpp
@@ -30,16 +30,16 @@
         : feed(
             "targets/", {}, ports(), random, copy,
             [this](const CollectionChange &change) { changes.push_back(change); },
-            [](const FeedContact &) {})
+            [](const StoreCallResult &) {})
     {
         store.pageObjects = 50;
         for (std::uint64_t target = 0; target < Targets; ++target)
             store.put(keyOf(target), "ready");
     }
 
-    [[nodiscard]] FeedPorts ports()
+    [[nodiscard]] StoreFeedCallbacks ports()
     {
-        FeedPorts ports;
+        StoreFeedCallbacks ports;
         ports.now = [this] { return time.now(); };
         ports.after = [this](Duration wait, std::function<void()> call) {
             time.after(wait, std::move(call));
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -71,9 +71,9 @@
         feed.start({Root});
     }
 
-    [[nodiscard]] PeerPorts ports()
+    [[nodiscard]] PeerFeedCallbacks ports()
     {
-        PeerPorts ports;
+        PeerFeedCallbacks ports;
         ports.now = [] { return TimePoint{1h}; };
         ports.after = [](Duration, const std::function<void()> &) {};
         ports.ask = [this](const Endpoint &, const PeerQuery &query, const QueryTimeouts &,
