--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -28,8 +28,8 @@
     , m_random(random)
     , m_copies(std::move(collections))
     , m_handlers(std::move(handlers))
-    , m_backoff(settings.retry, settings.mostRetry)
-    , m_sources(m_identity.domain, settings.forget, settings.staleRetry)
+    , m_backoff(settings.retry, settings.maxRetry)
+    , m_sources(m_identity.domain, settings.retryFailedAfter, settings.retryStaleAfter)
 {
 }
 
@@ -45,7 +45,7 @@
         return;
     }
     if (isEmpty()) {
-        const Duration wait = std::max(m_settings.patience, m_settings.headStart);
+        const Duration wait = std::max(m_settings.startupWait, m_settings.headStart);
         m_ports.after(wait, [this, alive = std::weak_ptr{m_run}, startedAt = m_startedAt] {
             if (!alive.expired())
                 askStoreToo(startedAt);
@@ -73,7 +73,7 @@
 // All have started at once, and nobody can bring a copy sooner than the store.
 void PeerFeed::noCopyYet()
 {
-    if (isEmpty() && !m_promised && m_ports.now() - m_startedAt >= m_settings.patience)
+    if (isEmpty() && !m_promised && m_ports.now() - m_startedAt >= m_settings.startupWait)
         setState(PeerState::Lost);
 }
 
@@ -88,14 +88,14 @@
 
 void PeerFeed::judge()
 {
-    if (m_ports.now() - m_startedAt < m_settings.patience || !m_sources.allFailed())
+    if (m_ports.now() - m_startedAt < m_settings.startupWait || !m_sources.allFailed())
         return;
     setState(m_staleSince ? PeerState::Stale : PeerState::Lost);
 }
 
 // Not longer than until the copies are stale: the answer then shows whether the source knows
 // better.
-Duration PeerFeed::longestWait() const
+Duration PeerFeed::maxWait() const
 {
     const auto confirmed = m_copies.confirmedAt();
     if (!confirmed || m_staleSince)
@@ -111,13 +111,13 @@
     // A source that is not known to answer is not waited for.
     if (source != m_source)
         return Duration{0};
-    return isEmpty() ? m_settings.blankWait : longestWait();
+    return isEmpty() ? m_settings.emptyWait : maxWait();
 }
 
 QueryTimeouts PeerFeed::timeoutsFor(Duration wait) const
 {
     const Duration begin = wait + (isEmpty() ? m_settings.copyTimeout : m_settings.timeout);
-    return {m_settings.connectTimeout, begin, wait + m_settings.longestAnswer};
+    return {m_settings.connectTimeout, begin, wait + m_settings.answerTimeout};
 }
 
 void PeerFeed::ask()
@@ -205,7 +205,7 @@
 bool PeerFeed::isLinked() const
 {
     const auto heard = m_heartbeats.lastAdvanceAt();
-    return heard && m_ports.now() - *heard <= m_settings.unlinkedAfter;
+    return heard && m_ports.now() - *heard <= m_settings.originTimeout;
 }
 
 void PeerFeed::tell(QueryReport end, QueryOutcome outcome) const
@@ -378,7 +378,7 @@
         m_source = Endpoint{};
     m_promised = false;
     if (isEmpty()
-        && m_ports.now() - m_startedAt >= std::max(m_settings.patience, m_settings.headStart))
+        && m_ports.now() - m_startedAt >= std::max(m_settings.startupWait, m_settings.headStart))
         setState(PeerState::Lost);
     judge();
     ask();
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -27,22 +27,22 @@
     Duration timeout = 400ms;
     /// Until its end, on top of the wait: a megabyte over 2 Mbit/s takes 4 s, and the half of that
     /// again goes to others on the same link.
-    Duration longestAnswer = 6s;
+    Duration answerTimeout = 6s;
     /// Until a peer's VM takes a connection. A dark one costs this at a start, while callers wait.
     Duration connectTimeout = 200ms;
     /// One question while this daemon has no copy, to a source that may have none either.
-    Duration blankWait = 1s;
+    Duration emptyWait = 1s;
     /// For a whole copy to begin, on top of that wait; it is made first.
     Duration copyTimeout = 2s;
-    Duration retry = 100ms;  ///< Between sources that don't answer; doubles, with jitter.
-    Duration mostRetry = 1s; ///< At most; hundreds may have lost the same source.
-    Duration forget = 1s;    ///< Until a source that failed is tried again.
+    Duration retry = 100ms;         ///< Between sources that don't answer; doubles, with jitter.
+    Duration maxRetry = 1s;         ///< At most; hundreds may have lost the same source.
+    Duration retryFailedAfter = 1s; ///< Until a source that failed is tried again.
     /// Between two looks at a root whose copy was out of date, by those who wait at another one.
-    Duration staleRetry = 2s;
+    Duration retryStaleAfter = 2s;
     /// A source whose origin's pulse has stood for so long is linked to nobody. The pulse comes
     /// with each question (the wait), and has to stand for less than what makes a copy stale: in a
     /// ring of daemons both stop at once.
-    Duration unlinkedAfter = 2100ms;
+    Duration originTimeout = 2100ms;
     /// Age at which a peer's copy is no better than none: a watch of a root at the store takes 1.5
     /// s, its followers hear of its end at once, and 0.7 s are for slow answers. Half a second
     /// later a daemon has to have asked the store itself, to know of a change within three seconds.
@@ -54,7 +54,7 @@
     Duration copyHeadStart = 1s;
     /// A process that starts waits this long for a peer before it asks the store itself. Worth it
     /// only where the whole system starts and no caller waits.
-    Duration patience{0};
+    Duration startupWait{0};
 };
 
 /// \brief What a PeerFeed needs of its surroundings.
@@ -141,7 +141,7 @@
     /// \brief Takes the peers for lost, or stale, once every source has failed.
     void judge();
     [[nodiscard]] Duration waitOf(QueryKind kind, const Endpoint &source) const;
-    [[nodiscard]] Duration longestWait() const;
+    [[nodiscard]] Duration maxWait() const;
     [[nodiscard]] QueryTimeouts timeoutsFor(Duration wait) const;
     void ask();
     [[nodiscard]] PeerQuery makeQuery(QueryKind kind, const Endpoint &source) const;
--- a/src/core/directory/source_list.cpp
+++ b/src/core/directory/source_list.cpp
@@ -46,7 +46,7 @@
 {
     const bool isLast = source.address == last;
     const bool full = source.sentOnAt && now - *source.sentOnAt < SentOnFor;
-    if (source.staleAt && now - *source.staleAt < m_staleFor)
+    if (source.staleAt && now - *source.staleAt < m_retryStaleAfter)
         return 5; // It knows no more yet; those that it named wait with it.
     if (source.domain == m_domain && !full)
         return isLast ? 0 : 1;
@@ -71,7 +71,7 @@
 Source *SourceList::untriedRoot(TimePoint now)
 {
     const auto found = std::find_if(m_sources.begin(), m_sources.end(), [&](const Source &each) {
-        const bool seen = each.staleAt && now - *each.staleAt < m_staleFor;
+        const bool seen = each.staleAt && now - *each.staleAt < m_retryStaleAfter;
         return !failedLately(each, now) && !seen;
     });
     return found == m_sources.end() ? nullptr : &*found;
--- a/src/core/directory/source_list.h
+++ b/src/core/directory/source_list.h
@@ -27,11 +27,11 @@
 {
 public:
     /// \param forget Until a source that failed is tried again.
-    /// \param staleFor Until a root whose copy was out of date is looked at again.
-    SourceList(std::string domain, Duration forget, Duration staleFor)
+    /// \param retryStaleAfter Until a root whose copy was out of date is looked at again.
+    SourceList(std::string domain, Duration retryFailedAfter, Duration retryStaleAfter)
         : m_domain(std::move(domain))
-        , m_forget(forget)
-        , m_staleFor(staleFor)
+        , m_retryFailedAfter(retryFailedAfter)
+        , m_retryStaleAfter(retryStaleAfter)
     {
     }
 
@@ -56,14 +56,14 @@
 private:
     [[nodiscard]] bool failedLately(const Source &source, TimePoint now) const
     {
-        return source.failedAt && now - *source.failedAt < m_forget;
+        return source.failedAt && now - *source.failedAt < m_retryFailedAfter;
     }
     /// \return The lower the better.
     [[nodiscard]] int rank(const Source &source, const Endpoint &last, TimePoint now) const;
 
     std::string m_domain;
-    Duration m_forget;
-    Duration m_staleFor;
+    Duration m_retryFailedAfter;
+    Duration m_retryStaleAfter;
     std::vector<Source> m_sources;
 };
 
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -43,18 +43,18 @@
     , m_copy(copy)
     , m_changed(std::move(changed))
     , m_contact(std::move(contact))
-    , m_backoff(settings.firstRetry, settings.mostRetry)
-    , m_pageBackoff(settings.firstRetry, settings.mostRetry)
+    , m_backoff(settings.firstRetry, settings.maxRetry)
+    , m_pageBackoff(settings.firstRetry, settings.maxRetry)
 {
 }
 
-void StoreFeed::start(bool seldom)
+void StoreFeed::start(bool lowRate)
 {
     stop();
-    m_backoff = seldom ? Backoff{m_settings.firstSeldomRetry, m_settings.mostSeldomRetry}
-                       : Backoff{m_settings.firstRetry, m_settings.mostRetry};
+    m_backoff = lowRate ? Backoff{m_settings.firstLowRateRetry, m_settings.maxLowRateRetry}
+                        : Backoff{m_settings.firstRetry, m_settings.maxRetry};
     m_running = true;
-    m_seldom = seldom;
+    m_lowRate = lowRate;
     m_confirms = true;
     if (m_copy.complete())
         watch();
@@ -65,7 +65,7 @@
 void StoreFeed::askAnew()
 {
     if (m_running)
-        start(m_seldom);
+        start(m_lowRate);
 }
 
 void StoreFeed::stop()
@@ -174,8 +174,8 @@
         m_changed(*change);
     m_copy.confirm(asked);
     m_contact(StoreCallResult{});
-    if (m_seldom)
-        later(m_settings.seldomPause, &StoreFeed::watch);
+    if (m_lowRate)
+        later(m_settings.lowRatePause, &StoreFeed::watch);
     else
         watch();
 }
@@ -202,7 +202,7 @@
     if (std::holds_alternative<WatchTooLong>(result)) {
         succeeded();
         m_pages.clear();
-        later(m_settings.gather, &StoreFeed::list);
+        later(m_settings.batchDelay, &StoreFeed::list);
         return;
     }
     auto *list = std::get_if<ObjectList>(&result);
@@ -221,7 +221,7 @@
     m_contact(StoreCallResult{});
     const bool tooShort = !confirmed && m_ports.now() - asked < ShortestWatch;
     if (changed || tooShort)
-        later(m_settings.gather, &StoreFeed::watch);
+        later(m_settings.batchDelay, &StoreFeed::watch);
     else
         watch();
 }
@@ -234,7 +234,7 @@
     m_contact(
         {failure ? failure->what : "the store's answer does not fit the call", false, listing});
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
-    later(backoff.next(m_random, std::min(atLeast, m_settings.mostRetry)), again);
+    later(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), again);
 }
 
 void StoreFeed::succeeded()
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -22,18 +22,18 @@
     Duration watchWait = 1500ms;
     /// Pause after a watch that brought changes. Changes come in groups (a target that leaves is
     /// written three times); a watch for each would cost a call for each.
-    Duration gather = 300ms;
+    Duration batchDelay = 300ms;
     Duration firstRetry = 100ms; ///< After a failed call; doubles, with jitter.
-    Duration mostRetry = 1s;
+    Duration maxRetry = 1s;
     /// A list that comes this soon after an outage may lack targets that live: they register again
     /// within two seconds of the store's return. Half a second more for their way here.
     Duration returnGrace = 2500ms;
     /// A daemon that has its copy from others asks the store seldom, when both fail: hundreds that
     /// ask a store which is away cost more than they find out.
-    Duration firstSeldomRetry = 2s;
+    Duration firstLowRateRetry = 2s;
     /// Its first watch after a list waits so long: others may answer for the copy from then on.
-    Duration seldomPause = 1s;
-    Duration mostSeldomRetry = 8s;
+    Duration lowRatePause = 1s;
+    Duration maxLowRateRetry = 8s;
 };
 
 /// \brief What a feed needs of its surroundings; tests pass a virtual clock and a store of theirs.
@@ -74,8 +74,8 @@
 
     /// \brief Starts, or gives up what is under way and asks anew: after the process stood still, a
     /// call may wait on a connection that nobody answers any more.
-    /// \param seldom Failed calls are repeated after longer times.
-    void start(bool seldom = false);
+    /// \param lowRate Failed calls are repeated after longer times.
+    void start(bool lowRate = false);
     /// \brief Gives up the watch that waits and asks at once; does nothing where none is running.
     void askAnew();
     void stop();
@@ -112,7 +112,7 @@
     ObjectVersion m_pagesVersion;      ///< Of its oldest page.
     bool m_pagesMayBeOld = false;      ///< One of them.
     bool m_dear = false;               ///< No page of this list may be old.
-    bool m_seldom = false;             ///< This daemon has its copy from others as a rule.
+    bool m_lowRate = false;            ///< This daemon has its copy from others as a rule.
     bool m_confirms = false;           ///< The next watch only confirms the copy.
     bool m_pageCame = false;           ///< Since the last failure.
     bool m_running = false;
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -158,7 +158,7 @@
 {
     const std::uint64_t id = ++m_lastId;
     m_waiting.push_back({id, query, std::move(reply)});
-    m_ports.after(std::min(query.wait, m_settings.longestWait),
+    m_ports.after(std::min(query.wait, m_settings.maxWait),
                   [this, id, alive = std::weak_ptr{m_alive}] {
                       if (!alive.expired())
                           timeOut(id);
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -19,7 +19,7 @@
     /// each 1.5 s, and a whole copy at its start.
     std::size_t maxFollowers = 4;
     Duration followerTimeout = 3500ms; ///< Of two questions in a row; then its place is free.
-    Duration longestWait = 5s;         ///< Of one question, whatever it asks for.
+    Duration maxWait = 5s;             ///< Of one question, whatever it asks for.
     /// Age beyond which a copy is answered from for everybody; as PeerFeedSettings::staleAfter.
     Duration staleAfter = 2200ms;
 };
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -182,11 +182,11 @@
 void readFeed(ObjectReader &reader, StoreFeedSettings &out)
 {
     reader.duration("watchWait", out.watchWait, 100ms, 30s);
-    reader.duration("gather", out.gather, 0s, 10s);
+    reader.duration("gather", out.batchDelay, 0s, 10s);
     reader.duration("firstRetry", out.firstRetry, 1ms, 10s);
-    reader.duration("mostRetry", out.mostRetry, 1ms, 1min);
+    reader.duration("mostRetry", out.maxRetry, 1ms, 1min);
     reader.duration("returnGrace", out.returnGrace, 0s, 1min);
-    if (out.mostRetry < out.firstRetry)
+    if (out.maxRetry < out.firstRetry)
         reader.note("mostRetry", "must not be shorter than directory.firstRetry");
 }
 
@@ -195,15 +195,15 @@
     reader.duration("wait", out.peers.wait, 10ms, 30s);
     reader.duration("timeout", out.peers.timeout, 10ms, 30s);
     reader.duration("connectTimeout", out.peers.connectTimeout, 1ms, 30s);
-    reader.duration("blankWait", out.peers.blankWait, 10ms, 30s);
+    reader.duration("blankWait", out.peers.emptyWait, 10ms, 30s);
     reader.duration("headStart", out.peers.headStart, 0ms, 30s);
     reader.duration("copyHeadStart", out.peers.copyHeadStart, 0ms, 30s);
-    reader.duration("longestAnswer", out.peers.longestAnswer, 10ms, 10min);
+    reader.duration("longestAnswer", out.peers.answerTimeout, 10ms, 10min);
     reader.duration("copyTimeout", out.peers.copyTimeout, 10ms, 10min);
     reader.duration("retry", out.peers.retry, 1ms, 30s);
-    reader.duration("forget", out.peers.forget, 1ms, 10min);
+    reader.duration("forget", out.peers.retryFailedAfter, 1ms, 10min);
     reader.duration("staleAfter", out.peers.staleAfter, 10ms, 10min);
-    reader.duration("patience", out.peers.patience, 0s, 10min);
+    reader.duration("patience", out.peers.startupWait, 0s, 10min);
     reader.number("maxFollowers", out.relay.maxFollowers, 1, 4096);
 }
 
--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -31,9 +31,9 @@
 {
     DirectCluster cluster;
 
-    Fleet(std::size_t size, Duration patience)
+    Fleet(std::size_t size, Duration startupWait)
         : cluster(
-            size, Roots, 7, [](std::size_t, DirectCallbacks &) {}, settings(patience))
+            size, Roots, 7, [](std::size_t, DirectCallbacks &) {}, settings(startupWait))
     {
         for (std::size_t index = 0; index < size; ++index)
             cluster.kill(index);
@@ -43,10 +43,10 @@
             cluster.store.put(DirectCluster::targetKey(target), "x ready");
     }
 
-    [[nodiscard]] static DirectNodeSettings settings(Duration patience)
+    [[nodiscard]] static DirectNodeSettings settings(Duration startupWait)
     {
         DirectNodeSettings settings;
-        settings.peers.patience = patience;
+        settings.peers.startupWait = startupWait;
         return settings;
     }
 
