--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -83,7 +83,7 @@
     const bool lost = !end.failure.empty();
     // The store may have dropped the long watch too, which would hear of that much later.
     if (&collection != &m_evacuations && (end.historyGone || (!lost && collection.storeLost)))
-        m_evacuations.store.askAnew();
+        m_evacuations.store.refresh();
     collection.storeConnected = !lost;
     if (!lost && !end.historyGone) {
         notifyFollowers();
@@ -92,7 +92,7 @@
         const bool first = hasCopies() && !std::exchange(m_hadCopies, hasCopies());
         const bool helps = storeConnected() && m_peers.state() == PeerState::Stale;
         if ((first || helps) && !m_roots.empty())
-            m_peers.tellSource();
+            m_peers.notifySource();
     }
     if (lost == collection.storeLost)
         return;
@@ -106,7 +106,7 @@
     if (m_isRoot) {
         // Those that wait at each other, as each is refused by the store, would hear much later.
         if (state == PeerState::Fresh)
-            m_peers.tellRoots();
+            m_peers.notifyRoots();
         return;
     }
     for (Collection *collection : all()) {
@@ -171,7 +171,7 @@
     const bool lost = !storeConnected() && state == PeerState::Lost;
     // One that has no copy yet is not alone as long as somebody on its way up looks after the
     // store; a root does so itself.
-    const bool alone = lost && (hasCopies() || !(m_isRoot || m_peers.isLinked()));
+    const bool alone = lost && (hasCopies() || !(m_isRoot || m_peers.originAlive()));
     Lineage lineage;
     // A root that the store refuses may have its copy from another daemon.
     if (!storeConnected() && (!m_isRoot || state == PeerState::Fresh) && !alone)
@@ -194,7 +194,7 @@
 {
     const auto age = viewAge();
     const TimePoint confirmed = age ? m_callbacks.feed.now() - *age : m_notifiedConfirmedAt;
-    const TimePoint heard = m_peers.heardAt().value_or(m_notifiedHeartbeatAt);
+    const TimePoint heard = m_peers.heartbeatAt().value_or(m_notifiedHeartbeatAt);
     const bool newlyConfirmed = confirmed - m_notifiedConfirmedAt >= MinConfirmationStep;
     const bool heartbeat = heard - m_notifiedHeartbeatAt >= MinHeartbeatAdvance * HeartbeatInterval;
     if (!newlyConfirmed && !heartbeat)
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -169,7 +169,7 @@
                 });
 }
 
-void PeerFeed::tellSource()
+void PeerFeed::notifySource()
 {
     if (m_sources.empty())
         return;
@@ -178,7 +178,7 @@
 }
 
 // A look says how young the asking daemon's copies are; one that is out of date asks back.
-void PeerFeed::tellRoots()
+void PeerFeed::notifyRoots()
 {
     for (const Endpoint &root : m_sources.roots()) {
         if (root != m_source)
@@ -202,7 +202,7 @@
     sendQuery(fresher);
 }
 
-bool PeerFeed::isLinked() const
+bool PeerFeed::originAlive() const
 {
     const auto heard = m_heartbeats.lastAdvanceAt();
     return heard && m_ports.now() - *heard <= m_settings.originTimeout;
@@ -264,7 +264,7 @@
 void PeerFeed::onBlank(const QueryReport &end)
 {
     tell(end, QueryOutcome::Empty);
-    if (!isEmpty() || !isLinked()) {
+    if (!isEmpty() || !originAlive()) {
         failed(end.source);
         return;
     }
@@ -336,7 +336,7 @@
         staleRoot(source);
         return;
     }
-    if (isLinked()) {
+    if (originAlive()) {
         m_source = source.address;
         setState(PeerState::Waiting);
         m_handlers.answered(false);
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -110,9 +110,9 @@
     /// \brief Starts, or asks anew. \param roots Daemons that watch the store.
     void start(const std::vector<Endpoint> &roots);
     /// \brief Tells the source at once how young this daemon's own copies have become.
-    void tellSource();
+    void notifySource();
     /// \brief Tells the other roots how young this daemon's own copies have become.
-    void tellRoots();
+    void notifyRoots();
     /// \brief Takes a daemon for a source whose copies are younger, and asks it at once.
     void suggest(const Endpoint &fresher);
 
@@ -122,12 +122,12 @@
     /// \return Of the source.
     [[nodiscard]] const Lineage &lineage() const noexcept { return m_lineage; }
     /// \return When the origin's pulse grew last.
-    [[nodiscard]] std::optional<TimePoint> heardAt() const noexcept
+    [[nodiscard]] std::optional<TimePoint> heartbeatAt() const noexcept
     {
         return m_heartbeats.lastAdvanceAt();
     }
     /// \return Whether somebody on the way up looks after the store.
-    [[nodiscard]] bool isLinked() const;
+    [[nodiscard]] bool originAlive() const;
 
 private:
     enum class QueryKind {
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -62,7 +62,7 @@
         list();
 }
 
-void StoreFeed::askAnew()
+void StoreFeed::refresh()
 {
     if (m_running)
         start(m_lowRate);
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -77,7 +77,7 @@
     /// \param lowRate Failed calls are repeated after longer times.
     void start(bool lowRate = false);
     /// \brief Gives up the watch that waits and asks at once; does nothing where none is running.
-    void askAnew();
+    void refresh();
     void stop();
     [[nodiscard]] bool running() const noexcept { return m_running; }
 
