--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -9,13 +9,13 @@
 
 /// Longest path of a source. Three roots with four followers each reach 1,000 daemons over five;
 /// the rest is for uneven trees, whose hops cost milliseconds each.
-constexpr std::size_t MostHops = 12;
+constexpr std::size_t MaxHops = 12;
 /// Wait of a question that is asked when the copy is about to be stale.
-constexpr Duration ShortestWait = 10ms;
+constexpr Duration MinWait = 10ms;
 /// A source without a copy that answers sooner has not waited; it is not asked again at once.
-constexpr Duration ShortestBlankWait = 100ms;
+constexpr Duration MinEmptyWait = 100ms;
 /// Between two daemons that are tried at once, while there is no copy: many may offer theirs.
-constexpr Duration SuggestPeriod = 500ms;
+constexpr Duration SuggestionInterval = 500ms;
 
 } // namespace
 
@@ -35,10 +35,10 @@
 
 void PeerFeed::start(const std::vector<Endpoint> &roots)
 {
-    ++*m_run;
+    ++*m_generation;
     m_startedAt = m_ports.now();
     m_staleSince.reset();
-    m_promised = false;
+    m_copyExpected = false;
     m_sources.reset(roots, m_identity.address);
     if (m_sources.empty()) {
         setState(PeerState::Lost);
@@ -46,47 +46,47 @@
     }
     if (isEmpty()) {
         const Duration wait = std::max(m_settings.startupWait, m_settings.headStart);
-        m_ports.after(wait, [this, alive = std::weak_ptr{m_run}, startedAt = m_startedAt] {
+        m_ports.after(wait, [this, alive = std::weak_ptr{m_generation}, startedAt = m_startedAt] {
             if (!alive.expired())
-                askStoreToo(startedAt);
+                fallBackToStore(startedAt);
         });
     }
-    ask();
+    queryNext();
 }
 
-void PeerFeed::askStoreToo(TimePoint startedAt)
+void PeerFeed::fallBackToStore(TimePoint startedAt)
 {
     if (startedAt != m_startedAt || !isEmpty())
         return;
     const Duration waited = m_ports.now() - m_startedAt;
-    if (!m_promised || waited >= m_settings.copyHeadStart) {
+    if (!m_copyExpected || waited >= m_settings.copyHeadStart) {
         setState(PeerState::Lost);
         return;
     }
     m_ports.after(m_settings.copyHeadStart - waited,
-                  [this, alive = std::weak_ptr{m_run}, startedAt] {
+                  [this, alive = std::weak_ptr{m_generation}, startedAt] {
                       if (!alive.expired())
-                          askStoreToo(startedAt);
+                          fallBackToStore(startedAt);
                   });
 }
 
 // All have started at once, and nobody can bring a copy sooner than the store.
-void PeerFeed::noCopyYet()
+void PeerFeed::onSourceEmpty()
 {
-    if (isEmpty() && !m_promised && m_ports.now() - m_startedAt >= m_settings.startupWait)
+    if (isEmpty() && !m_copyExpected && m_ports.now() - m_startedAt >= m_settings.startupWait)
         setState(PeerState::Lost);
 }
 
-void PeerFeed::later(Duration wait)
+void PeerFeed::schedule(Duration wait)
 {
-    m_ports.after(wait, [this, run = std::weak_ptr{m_run}, mine = *m_run] {
+    m_ports.after(wait, [this, run = std::weak_ptr{m_generation}, mine = *m_generation] {
         const auto current = run.lock();
         if (current && *current == mine)
-            ask();
+            queryNext();
     });
 }
 
-void PeerFeed::judge()
+void PeerFeed::checkAllFailed()
 {
     if (m_ports.now() - m_startedAt < m_settings.startupWait || !m_sources.allFailed())
         return;
@@ -101,10 +101,10 @@
     if (!confirmed || m_staleSince)
         return m_settings.wait;
     const Duration left = *confirmed + m_settings.staleAfter - m_ports.now();
-    return std::clamp(left + ShortestWait, ShortestWait, m_settings.wait);
+    return std::clamp(left + MinWait, MinWait, m_settings.wait);
 }
 
-Duration PeerFeed::waitOf(QueryKind kind, const Endpoint &source) const
+Duration PeerFeed::waitFor(QueryKind kind, const Endpoint &source) const
 {
     if (kind == QueryKind::OneShot)
         return Duration{0};
@@ -120,20 +120,20 @@
     return {m_settings.connectTimeout, begin, wait + m_settings.answerTimeout};
 }
 
-void PeerFeed::ask()
+void PeerFeed::queryNext()
 {
     const TimePoint now = m_ports.now();
     if (const Source *source = m_sources.choose(m_source, now)) {
         if (m_rateLimiter.admit(now))
             sendQuery(source->address);
         else
-            later(m_settings.retry);
+            schedule(m_settings.retry);
         return;
     }
-    judge();
+    checkAllFailed();
     if (isEmpty())
         m_sources.forgive(); // Nothing to lose: all are tried again after the pause.
-    later(m_backoff.next(m_random, Duration{0}));
+    schedule(m_backoff.next(m_random, Duration{0}));
 }
 
 PeerQuery PeerFeed::makeQuery(QueryKind kind, const Endpoint &source) const
@@ -141,14 +141,14 @@
     PeerQuery query;
     query.oneShot = kind == QueryKind::OneShot;
     query.collections = m_copies.queries();
-    query.patches = m_takesPatches;
+    query.patches = m_acceptsPatches;
     query.querier = m_identity.address;
     query.domain = m_identity.domain;
     query.origin = m_lineage.origin;
     query.heartbeat = m_lineage.heartbeat;
     if (const auto confirmed = m_copies.confirmedAt())
         query.age = m_ports.now() - *confirmed;
-    query.wait = waitOf(kind, source);
+    query.wait = waitFor(kind, source);
     return query;
 }
 
@@ -157,8 +157,8 @@
     const PeerQuery asked = makeQuery(kind, source);
     const QueryReport end{source, m_copies.version(), asked.wait};
     m_ports.ask(source, asked, timeoutsFor(asked.wait),
-                [this, end, askedAt = m_ports.now(), kind, run = std::weak_ptr{m_run},
-                 mine = *m_run](PeerResult result) {
+                [this, end, askedAt = m_ports.now(), kind, run = std::weak_ptr{m_generation},
+                 mine = *m_generation](PeerResult result) {
                     const auto current = run.lock();
                     if (!current || *current != mine)
                         return;
@@ -173,8 +173,8 @@
 {
     if (m_sources.empty())
         return;
-    ++*m_run; // The question that waits is given up.
-    ask();
+    ++*m_generation; // The question that waits is given up.
+    queryNext();
 }
 
 // A look says how young the asking daemon's copies are; one that is out of date asks back.
@@ -194,11 +194,11 @@
     const TimePoint now = m_ports.now();
     if (!isEmpty() && m_state == PeerState::Fresh)
         return;
-    if (isEmpty() && m_suggestedAt && now - *m_suggestedAt < SuggestPeriod)
+    if (isEmpty() && m_suggestedAt && now - *m_suggestedAt < SuggestionInterval)
         return;
     m_suggestedAt = now;
     m_sources.add({fresher, std::nullopt});
-    ++*m_run;
+    ++*m_generation;
     sendQuery(fresher);
 }
 
@@ -208,7 +208,7 @@
     return heard && m_ports.now() - *heard <= m_settings.originTimeout;
 }
 
-void PeerFeed::tell(QueryReport end, QueryOutcome outcome) const
+void PeerFeed::reportQuery(QueryReport end, QueryOutcome outcome) const
 {
     if (!m_ports.ended)
         return;
@@ -216,12 +216,12 @@
     m_ports.ended(end);
 }
 
-std::string PeerFeed::refusal(const PeerAnswer &answer) const
+std::string PeerFeed::rejectReason(const PeerAnswer &answer) const
 {
     const std::vector<Endpoint> &path = answer.lineage.path;
     if (std::find(path.begin(), path.end(), m_identity.address) != path.end())
         return "its copy comes from here";
-    return path.size() > MostHops ? "its copy comes over too many daemons" : "";
+    return path.size() > MaxHops ? "its copy comes over too many daemons" : "";
 }
 
 void PeerFeed::onResult(QueryReport end, QueryKind kind, PeerResult result)
@@ -231,20 +231,20 @@
     PeerReply &reply = result.reply;
     if (!source || !reply) {
         end.why = std::move(result.why);
-        tell(std::move(end), QueryOutcome::Unanswered);
+        reportQuery(std::move(end), QueryOutcome::Unanswered);
         failed(address);
         return;
     }
     source->domain = reply->domain;
     if (!reply->redirect.empty()) {
-        tell(std::move(end), QueryOutcome::Redirected);
-        redirect(*source, *reply);
-        ask();
+        reportQuery(std::move(end), QueryOutcome::Redirected);
+        onRedirect(*source, *reply);
+        queryNext();
         return;
     }
-    end.why = refusal(*reply);
+    end.why = rejectReason(*reply);
     if (!end.why.empty()) {
-        tell(std::move(end), QueryOutcome::Refused);
+        reportQuery(std::move(end), QueryOutcome::Refused);
         m_staleSince = m_staleSince.value_or(m_ports.now()); // It answers, and knows no more.
         failed(address);
         return;
@@ -254,24 +254,24 @@
         m_lineage = reply->lineage;
     m_heartbeats.observe(reply->lineage, m_ports.now());
     if (reply->isEmpty)
-        onBlank(end);
+        onEmptyAnswer(end);
     else
         onAnswer(std::move(end), kind, *reply);
 }
 
 // While the source is linked, it has a copy as soon as anybody; to leave it would bring every
 // daemon to the roots, again and again.
-void PeerFeed::onBlank(const QueryReport &end)
+void PeerFeed::onEmptyAnswer(const QueryReport &end)
 {
-    tell(end, QueryOutcome::Empty);
+    reportQuery(end, QueryOutcome::Empty);
     if (!isEmpty() || !originAlive()) {
         failed(end.source);
         return;
     }
     m_source = end.source;
-    noCopyYet();
-    if (end.wait > Duration{0} && end.took < ShortestBlankWait)
-        later(m_backoff.next(m_random, Duration{0}));
+    onSourceEmpty();
+    if (end.wait > Duration{0} && end.took < MinEmptyWait)
+        schedule(m_backoff.next(m_random, Duration{0}));
     else
         sendQuery(end.source);
 }
@@ -281,22 +281,22 @@
     const Endpoint address = end.source;
     if (answer.collections.size() != m_copies.queries().size()) {
         end.why = "it answers for one collection at a time, as an older release";
-        tell(std::move(end), QueryOutcome::Unanswered);
+        reportQuery(std::move(end), QueryOutcome::Unanswered);
         failed(address);
         return;
     }
     if (!m_copies.resolvePatches(answer)) {
         end.why = "a patch does not fit the copy; the whole value is asked for";
-        tell(std::move(end), QueryOutcome::PatchMismatch);
-        m_takesPatches = false;
+        reportQuery(std::move(end), QueryOutcome::PatchMismatch);
+        m_acceptsPatches = false;
         sendQuery(address, kind);
         return;
     }
-    m_takesPatches = true;
+    m_acceptsPatches = true;
     const CopyUpdate taken = m_copies.apply(answer, m_settings.staleAfter, m_ports.now());
     if (taken.changed || taken.confirmed)
         m_handlers.answered(taken.changed);
-    tell(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
+    reportQuery(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
     Source &source = *m_sources.find(address);
     source.hasSlot = answer.hasSlot;
     if (!taken.fresh) {
@@ -310,20 +310,20 @@
     m_source = address;
     m_staleSince.reset();
     setState(PeerState::Fresh);
-    ask();
+    queryNext();
 }
 
-void PeerFeed::redirect(Source &from, const PeerAnswer &answer)
+void PeerFeed::onRedirect(Source &from, const PeerAnswer &answer)
 {
     from.failedAt = m_ports.now();
     from.sentOnAt = from.failedAt;
-    m_promised = m_promised || !answer.isEmpty;
+    m_copyExpected = m_copyExpected || !answer.isEmpty;
     for (const PeerReferral &named : answer.redirect) {
         if (named.address != m_identity.address && !named.address.isNull())
             m_sources.add(named);
     }
     if (answer.isEmpty)
-        noCopyYet();
+        onSourceEmpty();
 }
 
 // While the source is linked, it hears of the store's return as soon as anybody; to leave it would
@@ -333,7 +333,7 @@
 {
     m_staleSince = m_staleSince.value_or(m_ports.now());
     if (source.root) {
-        staleRoot(source);
+        onStaleRoot(source);
         return;
     }
     if (originAlive()) {
@@ -345,11 +345,11 @@
     }
     m_sources.forgetNamed();
     m_source = Endpoint{};
-    judge();
-    ask();
+    checkAllFailed();
+    queryNext();
 }
 
-void PeerFeed::staleRoot(Source &root)
+void PeerFeed::onStaleRoot(Source &root)
 {
     const TimePoint now = m_ports.now();
     const Endpoint address = root.address;
@@ -376,12 +376,12 @@
         source->failedAt = m_ports.now();
     if (m_source == address)
         m_source = Endpoint{};
-    m_promised = false;
+    m_copyExpected = false;
     if (isEmpty()
         && m_ports.now() - m_startedAt >= std::max(m_settings.startupWait, m_settings.headStart))
         setState(PeerState::Lost);
-    judge();
-    ask();
+    checkAllFailed();
+    queryNext();
 }
 
 void PeerFeed::setState(PeerState state)
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -137,30 +137,30 @@
 
     [[nodiscard]] bool isEmpty() const { return !m_copies.complete(); }
     /// \brief Callers wait: the store has to be asked too, unless a peer is about to bring a copy.
-    void askStoreToo(TimePoint startedAt);
+    void fallBackToStore(TimePoint startedAt);
     /// \brief Takes the peers for lost, or stale, once every source has failed.
-    void judge();
-    [[nodiscard]] Duration waitOf(QueryKind kind, const Endpoint &source) const;
+    void checkAllFailed();
+    [[nodiscard]] Duration waitFor(QueryKind kind, const Endpoint &source) const;
     [[nodiscard]] Duration maxWait() const;
     [[nodiscard]] QueryTimeouts timeoutsFor(Duration wait) const;
-    void ask();
+    void queryNext();
     [[nodiscard]] PeerQuery makeQuery(QueryKind kind, const Endpoint &source) const;
     void sendQuery(const Endpoint &source, QueryKind kind = QueryKind::Normal);
     void onResult(QueryReport end, QueryKind kind, PeerResult result);
     /// \return Why the answer is no use; empty where it is.
-    [[nodiscard]] std::string refusal(const PeerAnswer &answer) const;
+    [[nodiscard]] std::string rejectReason(const PeerAnswer &answer) const;
     /// \brief A source has no copy itself: the store has to be asked, where callers wait.
-    void noCopyYet();
-    void onBlank(const QueryReport &end);
+    void onSourceEmpty();
+    void onEmptyAnswer(const QueryReport &end);
     void onAnswer(QueryReport end, QueryKind kind, PeerAnswer &answer);
-    void tell(QueryReport end, QueryOutcome outcome) const;
-    void redirect(Source &from, const PeerAnswer &answer);
+    void reportQuery(QueryReport end, QueryOutcome outcome) const;
+    void onRedirect(Source &from, const PeerAnswer &answer);
     void failed(const Endpoint &source);
     void stale(Source &source);
     /// \brief Goes on to another root, or waits at one where all are out of date.
-    void staleRoot(Source &root);
+    void onStaleRoot(Source &root);
     void setState(PeerState state);
-    void later(Duration wait);
+    void schedule(Duration wait);
 
     PeerFeedSettings m_settings;
     PeerIdentity m_identity;
@@ -176,11 +176,11 @@
     HeartbeatMonitor m_heartbeats;
     TimePoint m_startedAt{};
     PeerState m_state = PeerState::Fresh;
-    bool m_takesPatches = true; ///< False after one that did not fit, until an answer is taken.
-    bool m_promised = false;    ///< A source that has the copies has answered.
+    bool m_acceptsPatches = true; ///< False after one that did not fit, until an answer is taken.
+    bool m_copyExpected = false;  ///< A source that has the copies has answered.
     std::optional<TimePoint> m_suggestedAt; ///< While this daemon has no copy.
     std::optional<TimePoint> m_staleSince;  ///< First answer with old copies since the last fresh.
-    std::shared_ptr<std::uint64_t> m_run = std::make_shared<std::uint64_t>(0);
+    std::shared_ptr<std::uint64_t> m_generation = std::make_shared<std::uint64_t>(0);
 };
 
 } // namespace baobabtrail
