--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -132,7 +132,7 @@
     }
     checkAllFailed();
     if (isEmpty())
-        m_sources.forgive(); // Nothing to lose: all are tried again after the pause.
+        m_sources.clearFailures(); // Nothing to lose: all are tried again after the pause.
     schedule(m_backoff.next(m_random, Duration{0}));
 }
 
@@ -305,7 +305,7 @@
     }
     source.failedAt.reset();
     source.staleAt.reset();
-    source.sentOnAt.reset();
+    source.redirectedAt.reset();
     m_backoff.reset();
     m_source = address;
     m_staleSince.reset();
@@ -316,7 +316,7 @@
 void PeerFeed::onRedirect(Source &from, const PeerAnswer &answer)
 {
     from.failedAt = m_ports.now();
-    from.sentOnAt = from.failedAt;
+    from.redirectedAt = from.failedAt;
     m_copyExpected = m_copyExpected || !answer.isEmpty;
     for (const PeerReferral &named : answer.redirect) {
         if (named.address != m_identity.address && !named.address.isNull())
@@ -343,7 +343,7 @@
         sendQuery(m_source);
         return;
     }
-    m_sources.forgetNamed();
+    m_sources.eraseReferred();
     m_source = Endpoint{};
     checkAllFailed();
     queryNext();
@@ -355,7 +355,7 @@
     const Endpoint address = root.address;
     root.staleAt = now;
     root.failedAt.reset();
-    m_sources.forgetNamed();
+    m_sources.eraseReferred();
     if (const Source *untried = m_sources.untriedRoot(now)) {
         sendQuery(untried->address, QueryKind::OneShot);
         return;
--- a/src/core/directory/source_list.cpp
+++ b/src/core/directory/source_list.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Sources that other daemons have named are kept up to this many; the oldest goes first.
-constexpr std::size_t MostSources = 12;
+constexpr std::size_t MaxSources = 12;
 /// A source of the own failure domain that had no place is not preferred for so long: hundreds that
 /// have found places elsewhere would ask its root again and again.
-constexpr Duration SentOnFor = 5min;
+constexpr Duration RedirectedPenalty = 5min;
 
 } // namespace
 
@@ -45,7 +45,7 @@
 int SourceList::rank(const Source &source, const Endpoint &last, TimePoint now) const
 {
     const bool isLast = source.address == last;
-    const bool full = source.sentOnAt && now - *source.sentOnAt < SentOnFor;
+    const bool full = source.redirectedAt && now - *source.redirectedAt < RedirectedPenalty;
     if (source.staleAt && now - *source.staleAt < m_retryStaleAfter)
         return 5; // It knows no more yet; those that it named wait with it.
     if (source.domain == m_domain && !full)
@@ -59,7 +59,7 @@
 {
     Source *best = nullptr;
     for (Source &source : m_sources) {
-        if (failedLately(source, now))
+        if (failedRecently(source, now))
             continue;
         // Of equals the one that was named last: it is further down, where seats are free.
         if (!best || rank(source, last, now) <= rank(*best, last, now))
@@ -72,7 +72,7 @@
 {
     const auto found = std::find_if(m_sources.begin(), m_sources.end(), [&](const Source &each) {
         const bool seen = each.staleAt && now - *each.staleAt < m_retryStaleAfter;
-        return !failedLately(each, now) && !seen;
+        return !failedRecently(each, now) && !seen;
     });
     return found == m_sources.end() ? nullptr : &*found;
 }
@@ -95,7 +95,7 @@
         return;
     const auto oldest = std::find_if(m_sources.begin(), m_sources.end(),
                                      [](const Source &source) { return !source.root; });
-    if (m_sources.size() >= MostSources && oldest != m_sources.end())
+    if (m_sources.size() >= MaxSources && oldest != m_sources.end())
         m_sources.erase(oldest);
     Source source;
     source.address = named.address;
@@ -104,12 +104,12 @@
     m_sources.push_back(std::move(source));
 }
 
-void SourceList::forgetNamed()
+void SourceList::eraseReferred()
 {
     std::erase_if(m_sources, [](const Source &each) { return !each.root; });
 }
 
-void SourceList::forgive()
+void SourceList::clearFailures()
 {
     for (Source &source : m_sources)
         source.failedAt.reset();
--- a/src/core/directory/source_list.h
+++ b/src/core/directory/source_list.h
@@ -16,10 +16,10 @@
     Endpoint address;
     std::optional<std::string> domain; ///< Unknown until it is named with it, or answers.
     std::optional<TimePoint> failedAt;
-    std::optional<TimePoint> sentOnAt; ///< It had no place, and named others.
-    std::optional<TimePoint> staleAt;  ///< Its copy was out of date.
-    bool hasSlot = false;              ///< It answers this daemon while all is well.
-    bool root = true;                  ///< Named by the settings, not by another daemon.
+    std::optional<TimePoint> redirectedAt; ///< It had no place, and named others.
+    std::optional<TimePoint> staleAt;      ///< Its copy was out of date.
+    bool hasSlot = false;                  ///< It answers this daemon while all is well.
+    bool root = true;                      ///< Named by the settings, not by another daemon.
 };
 
 /// \brief Daemons that one daemon may ask for copies, and which one comes next.
@@ -47,14 +47,14 @@
     [[nodiscard]] std::vector<Endpoint> roots() const;
     /// \brief Another daemon has named this one.
     void add(const PeerReferral &named);
-    void forgetNamed();
+    void eraseReferred();
     /// \brief All may be tried again at once.
-    void forgive();
+    void clearFailures();
     [[nodiscard]] bool empty() const noexcept { return m_sources.empty(); }
     [[nodiscard]] bool allFailed() const;
 
 private:
-    [[nodiscard]] bool failedLately(const Source &source, TimePoint now) const
+    [[nodiscard]] bool failedRecently(const Source &source, TimePoint now) const
     {
         return source.failedAt && now - *source.failedAt < m_retryFailedAfter;
     }
