--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -11,11 +11,11 @@
 constexpr std::uint32_t PageObjects = 500;
 /// A watch that returns without a change sooner than this is not repeated at once: the store may
 /// answer each one so, and calls are priced.
-constexpr Duration ShortestWatch = 200ms;
+constexpr Duration MinWatch = 200ms;
 /// Longest answer of a watch: so many bytes, a fraction of a second over the thinnest link, and so
 /// many times the values of the copy, what a list brings with what the store says around them.
-constexpr std::uint64_t WatchBytes = 64 << 10;
-constexpr std::uint64_t WatchShare = 2;
+constexpr std::uint64_t WatchBaseBytes = 64 << 10;
+constexpr std::uint64_t WatchSizeFactor = 2;
 /// Wait of a watch that settles a list, or confirms a copy: the shortest that the store takes.
 constexpr Duration ConfirmWait = 1ms;
 
@@ -55,7 +55,7 @@
                         : Backoff{m_settings.firstRetry, m_settings.maxRetry};
     m_running = true;
     m_lowRate = lowRate;
-    m_confirms = true;
+    m_confirmOnly = true;
     if (m_copy.complete())
         watch();
     else
@@ -70,15 +70,15 @@
 
 void StoreFeed::stop()
 {
-    ++*m_run;
+    ++*m_generation;
     m_pages.clear();
-    m_dear = false;
+    m_consistent = false;
     m_running = false;
 }
 
-void StoreFeed::later(Duration wait, void (StoreFeed::*step)())
+void StoreFeed::schedule(Duration wait, void (StoreFeed::*step)())
 {
-    m_ports.after(wait, [this, step, run = std::weak_ptr{m_run}, mine = *m_run] {
+    m_ports.after(wait, [this, step, run = std::weak_ptr{m_generation}, mine = *m_generation] {
         const auto current = run.lock();
         if (current && *current == mine)
             (this->*step)();
@@ -88,8 +88,8 @@
 void StoreFeed::call(const PlatformRequest &request,
                      void (StoreFeed::*done)(TimePoint, PlatformResult))
 {
-    m_ports.call(request, [this, done, asked = m_ports.now(), run = std::weak_ptr{m_run},
-                           mine = *m_run](PlatformResult result) {
+    m_ports.call(request, [this, done, asked = m_ports.now(), run = std::weak_ptr{m_generation},
+                           mine = *m_generation](PlatformResult result) {
         const auto current = run.lock();
         if (current && *current == mine)
             (this->*done)(asked, std::move(result));
@@ -101,7 +101,7 @@
 void StoreFeed::list()
 {
     ListObjects request{m_prefix, m_pages.empty() ? m_prefix : m_pages.back().key, PageObjects};
-    request.mayBeOld = !m_pages.empty() && !m_dear;
+    request.mayBeOld = !m_pages.empty() && !m_consistent;
     m_pagesMayBeOld = request.mayBeOld;
     call(request, &StoreFeed::onPage);
 }
@@ -115,7 +115,7 @@
         failed(result, m_pages.empty() ? m_backoff : m_pageBackoff, &StoreFeed::list);
         return;
     }
-    m_pageCame = true;
+    m_pageReceived = true;
     m_pageBackoff.reset();
     // Changes made while the pages are read come with the watch: it begins at the oldest page.
     m_pagesVersion = m_pages.empty() ? page->latest : std::min(m_pagesVersion, page->latest);
@@ -125,57 +125,57 @@
         return;
     }
     if (m_pagesMayBeOld)
-        settle();
+        catchUp();
     else
-        takeList(asked);
+        applyList(asked);
 }
 
-void StoreFeed::settle()
+void StoreFeed::catchUp()
 {
-    call(WatchObjects{m_prefix, m_pagesVersion, ConfirmWait}, &StoreFeed::onSettled);
+    call(WatchObjects{m_prefix, m_pagesVersion, ConfirmWait}, &StoreFeed::onCaughtUp);
 }
 
-void StoreFeed::onSettled(TimePoint asked, PlatformResult result)
+void StoreFeed::onCaughtUp(TimePoint asked, PlatformResult result)
 {
     if (std::holds_alternative<HistoryGone>(result)) {
-        listDear();
+        listConsistent();
         return;
     }
     const auto *news = std::get_if<ObjectList>(&result);
     if (!news) {
-        failed(result, m_pageBackoff, &StoreFeed::settle);
+        failed(result, m_pageBackoff, &StoreFeed::catchUp);
         return;
     }
     apply(*news, m_pages);
     m_pagesVersion = news->latest;
-    takeList(asked);
+    applyList(asked);
 }
 
-void StoreFeed::listDear()
+void StoreFeed::listConsistent()
 {
     m_pages.clear();
-    m_dear = true;
+    m_consistent = true;
     list();
 }
 
-void StoreFeed::takeList(TimePoint asked)
+void StoreFeed::applyList(TimePoint asked)
 {
-    succeeded();
+    onSuccess();
     const std::vector<StoredObject> listed = std::exchange(m_pages, {});
-    m_dear = false;
+    m_consistent = false;
     if (m_pagesVersion < m_copy.version()) {
         // A peer was faster, or the answer is older than what is in force.
         m_contact(StoreCallResult{});
-        later(m_backoff.next(m_random, Duration{0}), &StoreFeed::list);
+        schedule(m_backoff.next(m_random, Duration{0}), &StoreFeed::list);
         return;
     }
-    m_confirms = false;
-    if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, justBack()))
+    m_confirmOnly = false;
+    if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, storeReturnedRecently()))
         m_changed(*change);
     m_copy.confirm(asked);
     m_contact(StoreCallResult{});
     if (m_lowRate)
-        later(m_settings.lowRatePause, &StoreFeed::watch);
+        schedule(m_settings.lowRatePause, &StoreFeed::watch);
     else
         watch();
 }
@@ -186,8 +186,8 @@
 // once: those that have their copies from here wait for the word that they are true again.
 void StoreFeed::watch()
 {
-    const std::uint64_t most = WatchBytes + WatchShare * m_copy.bytes();
-    const Duration wait = m_confirms ? ConfirmWait : m_settings.watchWait;
+    const std::uint64_t most = WatchBaseBytes + WatchSizeFactor * m_copy.bytes();
+    const Duration wait = m_confirmOnly ? ConfirmWait : m_settings.watchWait;
     call(WatchObjects{m_prefix, m_copy.version(), wait, most}, &StoreFeed::onWatch);
 }
 
@@ -200,9 +200,9 @@
         return;
     }
     if (std::holds_alternative<WatchTooLong>(result)) {
-        succeeded();
+        onSuccess();
         m_pages.clear();
-        later(m_settings.batchDelay, &StoreFeed::list);
+        schedule(m_settings.batchDelay, &StoreFeed::list);
         return;
     }
     auto *list = std::get_if<ObjectList>(&result);
@@ -210,18 +210,18 @@
         failed(result, m_backoff, &StoreFeed::watch);
         return;
     }
-    succeeded();
-    const bool confirmed = std::exchange(m_confirms, false);
+    onSuccess();
+    const bool confirmed = std::exchange(m_confirmOnly, false);
     const bool changed = !list->objects.empty() || !list->removed.empty();
     const ObjectVersion version = std::max(list->latest, m_copy.version());
     if (const auto change = m_copy.applyChanges(
-            {std::move(list->objects), std::move(list->removed), version, justBack()}))
+            {std::move(list->objects), std::move(list->removed), version, storeReturnedRecently()}))
         m_changed(*change);
     m_copy.confirm(m_ports.now());
     m_contact(StoreCallResult{});
-    const bool tooShort = !confirmed && m_ports.now() - asked < ShortestWatch;
+    const bool tooShort = !confirmed && m_ports.now() - asked < MinWatch;
     if (changed || tooShort)
-        later(m_settings.batchDelay, &StoreFeed::watch);
+        schedule(m_settings.batchDelay, &StoreFeed::watch);
     else
         watch();
 }
@@ -230,20 +230,20 @@
 {
     m_copy.storeFailed(m_ports.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
-    const bool listing = std::exchange(m_pageCame, false);
+    const bool listing = std::exchange(m_pageReceived, false);
     m_contact(
         {failure ? failure->what : "the store's answer does not fit the call", false, listing});
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
-    later(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), again);
+    schedule(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), again);
 }
 
-void StoreFeed::succeeded()
+void StoreFeed::onSuccess()
 {
     m_backoff.reset();
     m_copy.storeAnswered(m_ports.now());
 }
 
-bool StoreFeed::justBack() const
+bool StoreFeed::storeReturnedRecently() const
 {
     const auto returned = m_copy.storeReturnedAt();
     return returned && m_ports.now() - *returned < m_settings.returnGrace;
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -85,18 +85,18 @@
     void list();
     void onPage(TimePoint asked, PlatformResult result);
     /// \brief Asks for what changed since the pages of the list.
-    void settle();
-    void onSettled(TimePoint asked, PlatformResult result);
+    void catchUp();
+    void onCaughtUp(TimePoint asked, PlatformResult result);
     /// \brief Begins anew with pages that are not old.
-    void listDear();
-    void takeList(TimePoint asked);
+    void listConsistent();
+    void applyList(TimePoint asked);
     void watch();
     void onWatch(TimePoint asked, PlatformResult result);
     void failed(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)());
-    void succeeded();
-    void later(Duration wait, void (StoreFeed::*step)());
+    void onSuccess();
+    void schedule(Duration wait, void (StoreFeed::*step)());
     void call(const PlatformRequest &request, void (StoreFeed::*done)(TimePoint, PlatformResult));
-    [[nodiscard]] bool justBack() const;
+    [[nodiscard]] bool storeReturnedRecently() const;
 
     std::string m_prefix;
     StoreFeedSettings m_settings;
@@ -111,12 +111,12 @@
     std::vector<StoredObject> m_pages; ///< Of the list that is under way.
     ObjectVersion m_pagesVersion;      ///< Of its oldest page.
     bool m_pagesMayBeOld = false;      ///< One of them.
-    bool m_dear = false;               ///< No page of this list may be old.
+    bool m_consistent = false;         ///< No page of this list may be old.
     bool m_lowRate = false;            ///< This daemon has its copy from others as a rule.
-    bool m_confirms = false;           ///< The next watch only confirms the copy.
-    bool m_pageCame = false;           ///< Since the last failure.
+    bool m_confirmOnly = false;        ///< The next watch only confirms the copy.
+    bool m_pageReceived = false;       ///< Since the last failure.
     bool m_running = false;
-    std::shared_ptr<std::uint64_t> m_run = std::make_shared<std::uint64_t>(0);
+    std::shared_ptr<std::uint64_t> m_generation = std::make_shared<std::uint64_t>(0);
 };
 
 } // namespace baobabtrail
