--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -92,9 +92,9 @@
 {
     Duration gap{0};
 };
-using NodeNotice
-    = std::variant<RoutesInForce, ObjectRefused, StoreContact, PeerContact, HistoryLost,
-                   WaitingQueueFull, ProcessStalled, PeerQueryEnded, TurningAway, DomainEvacuated>;
+using NodeNotice = std::variant<RoutesInForce, ObjectRefused, StoreContact, PeerContact,
+                                HistoryLost, WaitingQueueFull, ProcessStalled, PeerQueryEnded,
+                                FollowerOverflow, DomainEvacuated>;
 
 /// \brief What a DirectNode needs of its surroundings.
 struct DirectCallbacks
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -161,7 +161,7 @@
         return std::find(m_roots.begin(), m_roots.end(), daemon) != m_roots.end();
     };
     ports.fresher = [this](const Endpoint &fresher) { m_peers.suggest(fresher); };
-    ports.turnsAway = [this](const TurningAway &turning) { notice(turning); };
+    ports.overflow = [this](const FollowerOverflow &turning) { notice(turning); };
     return ports;
 }
 
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -13,7 +13,7 @@
 /// Daemons that are named to one that is sent on.
 constexpr std::size_t MostNamed = 3;
 /// Without anybody to be sent on for so long, a daemon no longer turns others away.
-constexpr Duration TurnsNobody = 5s;
+constexpr Duration OverflowEndsAfter = 5s;
 /// A return of the store is told for so long: what lapsed is back, or gone, within three seconds,
 /// and news may be two seconds old.
 constexpr Duration ReturnIsNews = 10s;
@@ -122,7 +122,7 @@
     std::vector<PeerReferral> elsewhere = redirect(query);
     if (elsewhere.empty())
         return false;
-    turnAway();
+    countRedirect();
     PeerAnswer answer;
     answer.domain = m_domain;
     answer.isEmpty = isEmpty;
@@ -131,27 +131,27 @@
     return true;
 }
 
-void ViewRelay::turnAway()
+void ViewRelay::countRedirect()
 {
-    ++m_sentOn;
-    m_turnedAt = m_ports.now();
-    if (m_turnsSince)
+    ++m_redirected;
+    m_lastRedirectAt = m_ports.now();
+    if (m_overflowSince)
         return;
-    m_turnsSince = m_turnedAt;
-    m_sentOnBefore = m_sentOn - 1;
-    if (m_ports.turnsAway)
-        m_ports.turnsAway({false, 0, Duration{0}, followers()});
+    m_overflowSince = m_lastRedirectAt;
+    m_redirectedBefore = m_redirected - 1;
+    if (m_ports.overflow)
+        m_ports.overflow({false, 0, Duration{0}, followers()});
 }
 
 void ViewRelay::expire()
 {
-    if (!m_turnsSince || m_ports.now() - m_turnedAt < TurnsNobody)
+    if (!m_overflowSince || m_ports.now() - m_lastRedirectAt < OverflowEndsAfter)
         return;
-    const TurningAway ended{true, m_sentOn - m_sentOnBefore, m_turnedAt - *m_turnsSince,
-                            followers()};
-    m_turnsSince.reset();
-    if (m_ports.turnsAway)
-        m_ports.turnsAway(ended);
+    const FollowerOverflow ended{true, m_redirected - m_redirectedBefore,
+                                 m_lastRedirectAt - *m_overflowSince, followers()};
+    m_overflowSince.reset();
+    if (m_ports.overflow)
+        m_ports.overflow(ended);
 }
 
 void ViewRelay::hold(const PeerQuery &query, Reply reply)
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -25,7 +25,7 @@
 };
 
 /// \brief A daemon begins, or ends, to send others on since its places are taken.
-struct TurningAway
+struct FollowerOverflow
 {
     bool ended = false;
     std::uint64_t count = 0; ///< Daemons that were sent on meanwhile.
@@ -49,7 +49,7 @@
         /// A daemon has asked whose own copies are younger than these, which are out of date or
         /// missing.
         std::function<void(const Endpoint &fresher)> fresher;
-        std::function<void(const TurningAway &)> turnsAway{}; ///< May be empty.
+        std::function<void(const FollowerOverflow &)> overflow{}; ///< May be empty.
     };
 
     ViewRelay(std::string domain, RelaySettings settings, Ports ports);
@@ -67,7 +67,7 @@
     /// \return Daemons that have their copies from here.
     [[nodiscard]] std::size_t followers() const noexcept { return m_followers.size(); }
     /// \return Daemons that were sent on to others so far.
-    [[nodiscard]] std::uint64_t sentOn() const noexcept { return m_sentOn; }
+    [[nodiscard]] std::uint64_t redirected() const noexcept { return m_redirected; }
 
 private:
     struct Waiting
@@ -95,7 +95,7 @@
     void askBlank(const PeerQuery &query, Reply reply);
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
     [[nodiscard]] bool sendOn(const PeerQuery &query, bool isEmpty, const Reply &reply);
-    void turnAway();
+    void countRedirect();
     void hold(const PeerQuery &query, Reply reply);
     [[nodiscard]] PeerReply answer(const PeerQuery &query);
     [[nodiscard]] bool admit(const PeerQuery &query);
@@ -115,10 +115,10 @@
     std::map<Endpoint, TimePoint> m_sentHome; ///< To the roots of their own domains, lately.
     std::list<Waiting> m_waiting;
     std::uint64_t m_lastId = 0;
-    std::uint64_t m_sentOn = 0;
-    std::uint64_t m_sentOnBefore = 0;        ///< Before this daemon began to turn others away.
-    std::optional<TimePoint> m_turnsSince{}; ///< While it does.
-    TimePoint m_turnedAt{};                  ///< Lately.
+    std::uint64_t m_redirected = 0;
+    std::uint64_t m_redirectedBefore = 0;       ///< Before this daemon began to turn others away.
+    std::optional<TimePoint> m_overflowSince{}; ///< While it does.
+    TimePoint m_lastRedirectAt{};               ///< Lately.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -152,7 +152,7 @@
             event.field("why", end.why);
         return event;
     }
-    LogEvent operator()(const TurningAway &in) const
+    LogEvent operator()(const FollowerOverflow &in) const
     {
         LogEvent event{Severity::Info, Part::Distribution,
                        in.ended ? "turns_nobody_away" : "turns_away"};
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -116,7 +116,7 @@
              number(node.relay().followers()));
     writeOne(page, "baobabtrail_sent_on_total", "counter",
              "Daemons that were sent on to others, since all places were taken.",
-             number(node.relay().sentOn()));
+             number(node.relay().redirected()));
     writeOne(page, "baobabtrail_source_depth", "gauge",
              "Daemons between this one and the store; 0 while it asks the store itself.",
              number(node.peers().lineage().path.size()));
--- a/src/daemon/direct/direct_tables.cpp
+++ b/src/daemon/direct/direct_tables.cpp
@@ -170,7 +170,7 @@
         result.rows.push_back({std::string{each.name}, text(each.version.value()),
                                text(each.objects), each.age ? milliseconds(*each.age) : NotKnown,
                                each.storeConnected ? "store" : source, text(depth),
-                               text(node.relay().followers()), text(node.relay().sentOn()),
+                               text(node.relay().followers()), text(node.relay().redirected()),
                                lateWhy(node)});
     }
     return result;
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -77,7 +77,7 @@
     CollectionCopy copy;
     std::vector<Endpoint> offered;
     std::vector<std::function<void()>> timers;
-    std::vector<TurningAway> turnings;
+    std::vector<FollowerOverflow> turnings;
     ViewRelay relay{
         "d0",
         {},
@@ -85,7 +85,7 @@
          [this](Duration, std::function<void()> call) { timers.push_back(std::move(call)); },
          [] { return Lineage{}; }, [](const Endpoint &) { return false; },
          [this](const Endpoint &querier) { offered.push_back(querier); },
-         [this](const TurningAway &turning) { turnings.push_back(turning); }}};
+         [this](const FollowerOverflow &turning) { turnings.push_back(turning); }}};
 
     BlankDaemon() { relay.add("targets/", copy); }
 
@@ -160,7 +160,7 @@
     cr_assert_eq(root.turnings.size(), 2);
     cr_assert(!root.turnings.at(0).ended && root.turnings.at(1).ended);
     cr_assert_eq(root.turnings.at(1).count, 96);
-    cr_assert_eq(root.relay.sentOn(), 96);
+    cr_assert_eq(root.relay.redirected(), 96);
 }
 
 Test(viewRelay, whatIsNotKnownHereIsNotAnswered)
