--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -9,14 +9,14 @@
 
 /// Within this time a daemon that was sent to a root has not tried it in vain: a question that gets
 /// no answer takes 400 ms.
-constexpr Duration TryTime = 300ms;
+constexpr Duration LocalRootTryTime = 300ms;
 /// Daemons that are named to one that is sent on.
-constexpr std::size_t MostNamed = 3;
+constexpr std::size_t MaxReferrals = 3;
 /// Without anybody to be sent on for so long, a daemon no longer turns others away.
 constexpr Duration OverflowEndsAfter = 5s;
 /// A return of the store is told for so long: what lapsed is back, or gone, within three seconds,
 /// and news may be two seconds old.
-constexpr Duration ReturnIsNews = 10s;
+constexpr Duration ReturnReportedFor = 10s;
 
 } // namespace
 
@@ -51,7 +51,7 @@
 std::optional<Duration> ViewRelay::sinceStoreReturn(const CollectionCopy &copy) const
 {
     const auto returned = copy.storeReturnedAt();
-    if (!returned || m_ports.now() - *returned > ReturnIsNews)
+    if (!returned || m_ports.now() - *returned > ReturnReportedFor)
         return std::nullopt;
     return m_ports.now() - *returned;
 }
@@ -66,7 +66,7 @@
         return;
     }
     if (!complete(query)) {
-        askBlank(query, std::move(reply));
+        handleEmpty(query, std::move(reply));
         return;
     }
     const auto age = ageOf(query);
@@ -77,15 +77,15 @@
     const bool stale = *age > m_settings.staleAfter;
     if (stale && query.age && *query.age <= m_settings.staleAfter)
         m_ports.fresher(query.querier);
-    if (!query.oneShot && sendOn(query, false, reply))
+    if (!query.oneShot && redirectIfFull(query, false, reply))
         return;
-    if (hasNews(query) || query.wait <= Duration{0})
+    if (hasNewer(query) || query.wait <= Duration{0})
         reply(answer(query));
     else
         hold(query, std::move(reply));
 }
 
-bool ViewRelay::hasNews(const PeerQuery &query) const
+bool ViewRelay::hasNewer(const PeerQuery &query) const
 {
     if (query.lacksCopy())
         return true;
@@ -102,7 +102,7 @@
 
 // Where all daemons start at once, those that ask take their places before there is anything to
 // give, and wait: sent away, hundreds would come again and again.
-void ViewRelay::askBlank(const PeerQuery &query, Reply reply)
+void ViewRelay::handleEmpty(const PeerQuery &query, Reply reply)
 {
     if (!query.lacksCopy()) {
         m_ports.fresher(query.querier);
@@ -113,13 +113,13 @@
         reply(std::nullopt);
         return;
     }
-    if (!sendOn(query, true, reply))
+    if (!redirectIfFull(query, true, reply))
         hold(query, std::move(reply));
 }
 
-bool ViewRelay::sendOn(const PeerQuery &query, bool isEmpty, const Reply &reply)
+bool ViewRelay::redirectIfFull(const PeerQuery &query, bool isEmpty, const Reply &reply)
 {
-    std::vector<PeerReferral> elsewhere = redirect(query);
+    std::vector<PeerReferral> elsewhere = referralsFor(query);
     if (elsewhere.empty())
         return false;
     countRedirect();
@@ -177,10 +177,10 @@
 
 // Trees that stay within a failure domain outlive its being cut off, and don't cross the dear
 // links. One that comes back after a try can't reach the root of its own domain, and is taken here.
-std::optional<PeerReferral> ViewRelay::nearerRoot(const PeerQuery &query)
+std::optional<PeerReferral> ViewRelay::localRoot(const PeerQuery &query)
 {
     const TimePoint now = m_ports.now();
-    std::erase_if(m_sentHome,
+    std::erase_if(m_sentToLocalRoot,
                   [&](const auto &item) { return now - item.second > m_settings.followerTimeout; });
     if (query.domain == m_domain || m_ports.isRoot(query.querier))
         return std::nullopt;
@@ -189,15 +189,15 @@
     const auto root = rootIn(query.domain);
     if (!root)
         return std::nullopt;
-    const auto sent = m_sentHome.emplace(query.querier, now).first;
-    return now - sent->second < TryTime ? root : std::nullopt;
+    const auto sent = m_sentToLocalRoot.emplace(query.querier, now).first;
+    return now - sent->second < LocalRootTryTime ? root : std::nullopt;
 }
 
-std::vector<PeerReferral> ViewRelay::redirect(const PeerQuery &query)
+std::vector<PeerReferral> ViewRelay::referralsFor(const PeerQuery &query)
 {
-    if (const auto root = nearerRoot(query))
+    if (const auto root = localRoot(query))
         return {*root};
-    return admit(query) ? std::vector<PeerReferral>{} : others(query.domain);
+    return admit(query) ? std::vector<PeerReferral>{} : followerReferrals(query.domain);
 }
 
 bool ViewRelay::admit(const PeerQuery &query)
@@ -221,25 +221,25 @@
 
 // By turns, so that the tree fills evenly: sent on at random, daemons that started together ended
 // far from the store.
-std::vector<PeerReferral> ViewRelay::others(const std::string &domain)
+std::vector<PeerReferral> ViewRelay::followerReferrals(const std::string &domain)
 {
     std::vector<std::pair<Endpoint, Follower *>> ranked;
     for (auto &[address, follower] : m_followers)
         ranked.emplace_back(address, &follower);
     const auto rank = [&domain](const Follower &follower) {
-        return std::pair{follower.domain == domain ? 0 : 1, follower.sent};
+        return std::pair{follower.domain == domain ? 0 : 1, follower.referrals};
     };
     std::stable_sort(ranked.begin(), ranked.end(), [&](const auto &a, const auto &b) {
         return rank(*a.second) < rank(*b.second);
     });
     std::vector<PeerReferral> named;
     for (const auto &[address, follower] : ranked) {
-        if (named.size() == MostNamed)
+        if (named.size() == MaxReferrals)
             break;
         named.push_back({address, follower->domain});
     }
     if (!ranked.empty())
-        ++ranked.front().second->sent;
+        ++ranked.front().second->referrals;
     std::reverse(named.begin(), named.end()); // The asking daemon prefers what it heard of last.
     return named;
 }
@@ -270,7 +270,7 @@
 
 void ViewRelay::changed()
 {
-    std::vector<Waiting> due;
+    std::vector<WaitingQuery> due;
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         // A copy is confirmed a moment after it came.
         const bool waits = !complete(it->query) || (it->query.lacksCopy() && !ageOf(it->query));
@@ -281,17 +281,17 @@
         due.push_back(std::move(*it));
         it = m_waiting.erase(it);
     }
-    for (const Waiting &waiting : due)
+    for (const WaitingQuery &waiting : due)
         waiting.reply(answer(waiting.query));
 }
 
 void ViewRelay::timeOut(std::uint64_t id)
 {
     const auto found = std::find_if(m_waiting.begin(), m_waiting.end(),
-                                    [id](const Waiting &waiting) { return waiting.id == id; });
+                                    [id](const WaitingQuery &waiting) { return waiting.id == id; });
     if (found == m_waiting.end())
         return;
-    const Waiting waiting = std::move(*found);
+    const WaitingQuery waiting = std::move(*found);
     m_waiting.erase(found);
     waiting.reply(answer(waiting.query));
 }
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -70,7 +70,7 @@
     [[nodiscard]] std::uint64_t redirected() const noexcept { return m_redirected; }
 
 private:
-    struct Waiting
+    struct WaitingQuery
     {
         std::uint64_t id = 0;
         PeerQuery query;
@@ -80,7 +80,7 @@
     {
         TimePoint seenAt{};
         std::string domain;
-        std::uint32_t sent = 0; ///< Daemons that were sent on to it.
+        std::uint32_t referrals = 0; ///< Daemons that were sent on to it.
     };
 
     /// \return Whether all that is asked for is here.
@@ -90,20 +90,20 @@
     [[nodiscard]] std::optional<Duration> ageOf(const PeerQuery &query) const;
     /// \return Since the store came back, where other daemons have to know that.
     [[nodiscard]] std::optional<Duration> sinceStoreReturn(const CollectionCopy &copy) const;
-    [[nodiscard]] bool hasNews(const PeerQuery &query) const;
+    [[nodiscard]] bool hasNewer(const PeerQuery &query) const;
     /// \brief Answers one that asks while there is nothing here.
-    void askBlank(const PeerQuery &query, Reply reply);
+    void handleEmpty(const PeerQuery &query, Reply reply);
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
-    [[nodiscard]] bool sendOn(const PeerQuery &query, bool isEmpty, const Reply &reply);
+    [[nodiscard]] bool redirectIfFull(const PeerQuery &query, bool isEmpty, const Reply &reply);
     void countRedirect();
     void hold(const PeerQuery &query, Reply reply);
     [[nodiscard]] PeerReply answer(const PeerQuery &query);
     [[nodiscard]] bool admit(const PeerQuery &query);
     [[nodiscard]] std::optional<PeerReferral> rootIn(const std::string &domain) const;
-    [[nodiscard]] std::optional<PeerReferral> nearerRoot(const PeerQuery &query);
+    [[nodiscard]] std::optional<PeerReferral> localRoot(const PeerQuery &query);
     /// \return Whom the asking daemon should ask instead; empty for nobody.
-    [[nodiscard]] std::vector<PeerReferral> redirect(const PeerQuery &query);
-    [[nodiscard]] std::vector<PeerReferral> others(const std::string &domain);
+    [[nodiscard]] std::vector<PeerReferral> referralsFor(const PeerQuery &query);
+    [[nodiscard]] std::vector<PeerReferral> followerReferrals(const std::string &domain);
     void timeOut(std::uint64_t id);
 
     std::string m_domain;
@@ -112,8 +112,8 @@
     std::map<std::string, const CollectionCopy *> m_copies;
     std::map<Endpoint, Follower> m_followers;
     PatchCache m_patches;
-    std::map<Endpoint, TimePoint> m_sentHome; ///< To the roots of their own domains, lately.
-    std::list<Waiting> m_waiting;
+    std::map<Endpoint, TimePoint> m_sentToLocalRoot; ///< To the roots of their own domains, lately.
+    std::list<WaitingQuery> m_waiting;
     std::uint64_t m_lastId = 0;
     std::uint64_t m_redirected = 0;
     std::uint64_t m_redirectedBefore = 0;       ///< Before this daemon began to turn others away.
