--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -43,7 +43,7 @@
           node.m_random, copy,
           [this, &node](const CollectionChange &change) {
               (node.*apply)(change);
-              node.m_relay.changed();
+              node.m_relay.onCopyChanged();
               node.announceReady();
           },
           [this, &node](const StoreCallResult &end) { node.onStoreContact(*this, end); })
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -126,7 +126,7 @@
         notifyFollowers();
         return;
     }
-    m_relay.changed();
+    m_relay.onCopyChanged();
     announceReady();
 }
 
@@ -201,7 +201,7 @@
         return;
     m_notifiedConfirmedAt = confirmed;
     m_notifiedHeartbeatAt = heard;
-    m_relay.changed();
+    m_relay.onCopyChanged();
 }
 
 // At a chance time: hundreds of daemons lose the same peer at the same moment, and all of their
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -56,7 +56,7 @@
     return m_ports.now() - *returned;
 }
 
-void ViewRelay::ask(const PeerQuery &query, Reply reply)
+void ViewRelay::handle(const PeerQuery &query, Reply reply)
 {
     const bool known = std::all_of(
         query.collections.begin(), query.collections.end(),
@@ -268,7 +268,7 @@
     return answer;
 }
 
-void ViewRelay::changed()
+void ViewRelay::onCopyChanged()
 {
     std::vector<WaitingQuery> due;
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -59,11 +59,11 @@
     /// \param copy Must outlive the relay.
     void add(const std::string &prefix, const CollectionCopy &copy) { m_copies[prefix] = &copy; }
     /// \param reply Called once, at once or later.
-    void ask(const PeerQuery &query, Reply reply);
+    void handle(const PeerQuery &query, Reply reply);
     /// \brief To be called about each second: notices when nobody is sent on any more.
     void expire();
     /// \brief A copy changed: answers those who wait for it.
-    void changed();
+    void onCopyChanged();
     /// \return Daemons that have their copies from here.
     [[nodiscard]] std::size_t followers() const noexcept { return m_followers.size(); }
     /// \return Daemons that were sent on to others so far.
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -122,7 +122,7 @@
     (void)root.copy.applySnapshot({{"targets/1", "ready", ObjectVersion{3}}}, ObjectVersion{3},
                                   false);
     root.copy.confirm(root.now);
-    root.relay.changed();
+    root.relay.onCopyChanged();
     cr_assert_eq(replies.size(), 5);
     cr_assert(replies.back()->collections.at(0).delta.complete);
 }
