--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -223,7 +223,7 @@
     /// \brief The peers have answered for the copies.
     void onPeersAnswered(bool changed);
     void notifyFollowers();
-    [[nodiscard]] ViewRelay::Ports relayPorts();
+    [[nodiscard]] ViewRelay::Callbacks relayPorts();
     [[nodiscard]] PeerFeedCallbacks peerPorts();
     [[nodiscard]] PeerFeedHandlers peerHandlers();
     [[nodiscard]] bool hasCopies() const noexcept;
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -151,9 +151,9 @@
             [this](bool changed) { onPeersAnswered(changed); }};
 }
 
-ViewRelay::Ports DirectNode::relayPorts()
+ViewRelay::Callbacks DirectNode::relayPorts()
 {
-    ViewRelay::Ports ports;
+    ViewRelay::Callbacks ports;
     ports.now = m_callbacks.feed.now;
     ports.after = m_callbacks.feed.after;
     ports.lineage = [this] { return lineage(); };
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-ViewRelay::ViewRelay(std::string domain, RelaySettings settings, Ports ports)
+ViewRelay::ViewRelay(std::string domain, RelaySettings settings, Callbacks ports)
     : m_domain(std::move(domain))
     , m_settings(settings)
     , m_ports(std::move(ports))
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -39,7 +39,7 @@
 {
 public:
     using Reply = std::function<void(PeerReply)>;
-    struct Ports
+    struct Callbacks
     {
         std::function<TimePoint()> now;
         std::function<void(Duration, std::function<void()>)> after;
@@ -52,7 +52,7 @@
         std::function<void(const FollowerOverflow &)> overflow{}; ///< May be empty.
     };
 
-    ViewRelay(std::string domain, RelaySettings settings, Ports ports);
+    ViewRelay(std::string domain, RelaySettings settings, Callbacks ports);
     ViewRelay(const ViewRelay &) = delete;
     ViewRelay &operator=(const ViewRelay &) = delete;
 
@@ -108,7 +108,7 @@
 
     std::string m_domain;
     RelaySettings m_settings;
-    Ports m_ports;
+    Callbacks m_ports;
     std::map<std::string, const CollectionCopy *> m_copies;
     std::map<Endpoint, Follower> m_followers;
     PatchCache m_patches;
