--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -19,12 +19,12 @@
 
 } // namespace
 
-PeerFeed::PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks ports,
+PeerFeed::PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks callbacks,
                    Random &random, std::vector<SharedCollection> collections,
                    PeerFeedHandlers handlers)
     : m_settings(settings)
     , m_identity(std::move(identity))
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(callbacks))
     , m_random(random)
     , m_copies(std::move(collections))
     , m_handlers(std::move(handlers))
@@ -36,7 +36,7 @@
 void PeerFeed::start(const std::vector<Endpoint> &roots)
 {
     ++*m_generation;
-    m_startedAt = m_ports.now();
+    m_startedAt = m_callbacks.now();
     m_staleSince.reset();
     m_copyExpected = false;
     m_sources.reset(roots, m_identity.address);
@@ -46,10 +46,11 @@
     }
     if (isEmpty()) {
         const Duration wait = std::max(m_settings.startupWait, m_settings.headStart);
-        m_ports.after(wait, [this, alive = std::weak_ptr{m_generation}, startedAt = m_startedAt] {
-            if (!alive.expired())
-                fallBackToStore(startedAt);
-        });
+        m_callbacks.after(wait,
+                          [this, alive = std::weak_ptr{m_generation}, startedAt = m_startedAt] {
+                              if (!alive.expired())
+                                  fallBackToStore(startedAt);
+                          });
     }
     queryNext();
 }
@@ -58,28 +59,28 @@
 {
     if (startedAt != m_startedAt || !isEmpty())
         return;
-    const Duration waited = m_ports.now() - m_startedAt;
+    const Duration waited = m_callbacks.now() - m_startedAt;
     if (!m_copyExpected || waited >= m_settings.copyHeadStart) {
         setState(PeerState::Lost);
         return;
     }
-    m_ports.after(m_settings.copyHeadStart - waited,
-                  [this, alive = std::weak_ptr{m_generation}, startedAt] {
-                      if (!alive.expired())
-                          fallBackToStore(startedAt);
-                  });
+    m_callbacks.after(m_settings.copyHeadStart - waited,
+                      [this, alive = std::weak_ptr{m_generation}, startedAt] {
+                          if (!alive.expired())
+                              fallBackToStore(startedAt);
+                      });
 }
 
 // All have started at once, and nobody can bring a copy sooner than the store.
 void PeerFeed::onSourceEmpty()
 {
-    if (isEmpty() && !m_copyExpected && m_ports.now() - m_startedAt >= m_settings.startupWait)
+    if (isEmpty() && !m_copyExpected && m_callbacks.now() - m_startedAt >= m_settings.startupWait)
         setState(PeerState::Lost);
 }
 
 void PeerFeed::schedule(Duration wait)
 {
-    m_ports.after(wait, [this, run = std::weak_ptr{m_generation}, mine = *m_generation] {
+    m_callbacks.after(wait, [this, run = std::weak_ptr{m_generation}, mine = *m_generation] {
         const auto current = run.lock();
         if (current && *current == mine)
             queryNext();
@@ -88,7 +89,7 @@
 
 void PeerFeed::checkAllFailed()
 {
-    if (m_ports.now() - m_startedAt < m_settings.startupWait || !m_sources.allFailed())
+    if (m_callbacks.now() - m_startedAt < m_settings.startupWait || !m_sources.allFailed())
         return;
     setState(m_staleSince ? PeerState::Stale : PeerState::Lost);
 }
@@ -100,7 +101,7 @@
     const auto confirmed = m_copies.confirmedAt();
     if (!confirmed || m_staleSince)
         return m_settings.wait;
-    const Duration left = *confirmed + m_settings.staleAfter - m_ports.now();
+    const Duration left = *confirmed + m_settings.staleAfter - m_callbacks.now();
     return std::clamp(left + MinWait, MinWait, m_settings.wait);
 }
 
@@ -122,7 +123,7 @@
 
 void PeerFeed::queryNext()
 {
-    const TimePoint now = m_ports.now();
+    const TimePoint now = m_callbacks.now();
     if (const Source *source = m_sources.choose(m_source, now)) {
         if (m_rateLimiter.admit(now))
             sendQuery(source->address);
@@ -147,7 +148,7 @@
     query.origin = m_lineage.origin;
     query.heartbeat = m_lineage.heartbeat;
     if (const auto confirmed = m_copies.confirmedAt())
-        query.age = m_ports.now() - *confirmed;
+        query.age = m_callbacks.now() - *confirmed;
     query.wait = waitFor(kind, source);
     return query;
 }
@@ -156,17 +157,17 @@
 {
     const PeerQuery asked = makeQuery(kind, source);
     const QueryReport end{source, m_copies.version(), asked.wait};
-    m_ports.ask(source, asked, timeoutsFor(asked.wait),
-                [this, end, askedAt = m_ports.now(), kind, run = std::weak_ptr{m_generation},
-                 mine = *m_generation](PeerResult result) {
-                    const auto current = run.lock();
-                    if (!current || *current != mine)
-                        return;
-                    QueryReport ended = end;
-                    ended.took = m_ports.now() - askedAt;
-                    ended.bytes = result.bytes;
-                    onResult(std::move(ended), kind, std::move(result));
-                });
+    m_callbacks.ask(source, asked, timeoutsFor(asked.wait),
+                    [this, end, askedAt = m_callbacks.now(), kind,
+                     run = std::weak_ptr{m_generation}, mine = *m_generation](PeerResult result) {
+                        const auto current = run.lock();
+                        if (!current || *current != mine)
+                            return;
+                        QueryReport ended = end;
+                        ended.took = m_callbacks.now() - askedAt;
+                        ended.bytes = result.bytes;
+                        onResult(std::move(ended), kind, std::move(result));
+                    });
 }
 
 void PeerFeed::notifySource()
@@ -182,8 +183,8 @@
 {
     for (const Endpoint &root : m_sources.roots()) {
         if (root != m_source)
-            m_ports.ask(root, makeQuery(QueryKind::OneShot, root), timeoutsFor(Duration{0}),
-                        [](const PeerResult &) {});
+            m_callbacks.ask(root, makeQuery(QueryKind::OneShot, root), timeoutsFor(Duration{0}),
+                            [](const PeerResult &) {});
     }
 }
 
@@ -191,7 +192,7 @@
 {
     if (fresher == m_identity.address || fresher.isNull())
         return;
-    const TimePoint now = m_ports.now();
+    const TimePoint now = m_callbacks.now();
     if (!isEmpty() && m_state == PeerState::Fresh)
         return;
     if (isEmpty() && m_suggestedAt && now - *m_suggestedAt < SuggestionInterval)
@@ -205,15 +206,15 @@
 bool PeerFeed::originAlive() const
 {
     const auto heard = m_heartbeats.lastAdvanceAt();
-    return heard && m_ports.now() - *heard <= m_settings.originTimeout;
+    return heard && m_callbacks.now() - *heard <= m_settings.originTimeout;
 }
 
 void PeerFeed::reportQuery(QueryReport end, QueryOutcome outcome) const
 {
-    if (!m_ports.ended)
+    if (!m_callbacks.ended)
         return;
     end.outcome = outcome;
-    m_ports.ended(end);
+    m_callbacks.ended(end);
 }
 
 std::string PeerFeed::rejectReason(const PeerAnswer &answer) const
@@ -245,14 +246,14 @@
     end.why = rejectReason(*reply);
     if (!end.why.empty()) {
         reportQuery(std::move(end), QueryOutcome::Refused);
-        m_staleSince = m_staleSince.value_or(m_ports.now()); // It answers, and knows no more.
+        m_staleSince = m_staleSince.value_or(m_callbacks.now()); // It answers, and knows no more.
         failed(address);
         return;
     }
     // A look changes nothing of where the copies come from: followers would hear of another origin.
     if (kind != QueryKind::OneShot)
         m_lineage = reply->lineage;
-    m_heartbeats.observe(reply->lineage, m_ports.now());
+    m_heartbeats.observe(reply->lineage, m_callbacks.now());
     if (reply->isEmpty)
         onEmptyAnswer(end);
     else
@@ -293,7 +294,7 @@
         return;
     }
     m_acceptsPatches = true;
-    const CopyUpdate taken = m_copies.apply(answer, m_settings.staleAfter, m_ports.now());
+    const CopyUpdate taken = m_copies.apply(answer, m_settings.staleAfter, m_callbacks.now());
     if (taken.changed || taken.confirmed)
         m_handlers.answered(taken.changed);
     reportQuery(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
@@ -315,7 +316,7 @@
 
 void PeerFeed::onRedirect(Source &from, const PeerAnswer &answer)
 {
-    from.failedAt = m_ports.now();
+    from.failedAt = m_callbacks.now();
     from.redirectedAt = from.failedAt;
     m_copyExpected = m_copyExpected || !answer.isEmpty;
     for (const PeerReferral &named : answer.redirect) {
@@ -331,7 +332,7 @@
 // their copies from there; only a root may.
 void PeerFeed::stale(Source &source)
 {
-    m_staleSince = m_staleSince.value_or(m_ports.now());
+    m_staleSince = m_staleSince.value_or(m_callbacks.now());
     if (source.root) {
         onStaleRoot(source);
         return;
@@ -351,7 +352,7 @@
 
 void PeerFeed::onStaleRoot(Source &root)
 {
-    const TimePoint now = m_ports.now();
+    const TimePoint now = m_callbacks.now();
     const Endpoint address = root.address;
     root.staleAt = now;
     root.failedAt.reset();
@@ -373,12 +374,13 @@
 void PeerFeed::failed(const Endpoint &address)
 {
     if (Source *source = m_sources.find(address))
-        source->failedAt = m_ports.now();
+        source->failedAt = m_callbacks.now();
     if (m_source == address)
         m_source = Endpoint{};
     m_copyExpected = false;
     if (isEmpty()
-        && m_ports.now() - m_startedAt >= std::max(m_settings.startupWait, m_settings.headStart))
+        && m_callbacks.now() - m_startedAt
+               >= std::max(m_settings.startupWait, m_settings.headStart))
         setState(PeerState::Lost);
     checkAllFailed();
     queryNext();
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -102,7 +102,7 @@
 class PeerFeed
 {
 public:
-    PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks ports,
+    PeerFeed(PeerFeedSettings settings, PeerIdentity identity, PeerFeedCallbacks callbacks,
              Random &random, std::vector<SharedCollection> collections, PeerFeedHandlers handlers);
     PeerFeed(const PeerFeed &) = delete;
     PeerFeed &operator=(const PeerFeed &) = delete;
@@ -164,7 +164,7 @@
 
     PeerFeedSettings m_settings;
     PeerIdentity m_identity;
-    PeerFeedCallbacks m_ports;
+    PeerFeedCallbacks m_callbacks;
     Random &m_random;
     PeerCopies m_copies;
     PeerFeedHandlers m_handlers;
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -34,11 +34,11 @@
 
 } // namespace
 
-StoreFeed::StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks ports,
+StoreFeed::StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks callbacks,
                      Random &random, CollectionCopy &copy, Changed changed, Contact contact)
     : m_prefix(std::move(prefix))
     , m_settings(settings)
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(callbacks))
     , m_random(random)
     , m_copy(copy)
     , m_changed(std::move(changed))
@@ -78,7 +78,7 @@
 
 void StoreFeed::schedule(Duration wait, void (StoreFeed::*step)())
 {
-    m_ports.after(wait, [this, step, run = std::weak_ptr{m_generation}, mine = *m_generation] {
+    m_callbacks.after(wait, [this, step, run = std::weak_ptr{m_generation}, mine = *m_generation] {
         const auto current = run.lock();
         if (current && *current == mine)
             (this->*step)();
@@ -88,12 +88,13 @@
 void StoreFeed::call(const PlatformRequest &request,
                      void (StoreFeed::*done)(TimePoint, PlatformResult))
 {
-    m_ports.call(request, [this, done, asked = m_ports.now(), run = std::weak_ptr{m_generation},
-                           mine = *m_generation](PlatformResult result) {
-        const auto current = run.lock();
-        if (current && *current == mine)
-            (this->*done)(asked, std::move(result));
-    });
+    m_callbacks.call(request,
+                     [this, done, asked = m_callbacks.now(), run = std::weak_ptr{m_generation},
+                      mine = *m_generation](PlatformResult result) {
+                         const auto current = run.lock();
+                         if (current && *current == mine)
+                             (this->*done)(asked, std::move(result));
+                     });
 }
 
 // The first page is never old: most collections have no other one, and then need no watch to be
@@ -217,9 +218,9 @@
     if (const auto change = m_copy.applyChanges(
             {std::move(list->objects), std::move(list->removed), version, storeReturnedRecently()}))
         m_changed(*change);
-    m_copy.confirm(m_ports.now());
+    m_copy.confirm(m_callbacks.now());
     m_contact(StoreCallResult{});
-    const bool tooShort = !confirmed && m_ports.now() - asked < MinWatch;
+    const bool tooShort = !confirmed && m_callbacks.now() - asked < MinWatch;
     if (changed || tooShort)
         schedule(m_settings.batchDelay, &StoreFeed::watch);
     else
@@ -228,7 +229,7 @@
 
 void StoreFeed::failed(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)())
 {
-    m_copy.storeFailed(m_ports.now());
+    m_copy.storeFailed(m_callbacks.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
     const bool listing = std::exchange(m_pageReceived, false);
     m_contact(
@@ -240,13 +241,13 @@
 void StoreFeed::onSuccess()
 {
     m_backoff.reset();
-    m_copy.storeAnswered(m_ports.now());
+    m_copy.storeAnswered(m_callbacks.now());
 }
 
 bool StoreFeed::storeReturnedRecently() const
 {
     const auto returned = m_copy.storeReturnedAt();
-    return returned && m_ports.now() - *returned < m_settings.returnGrace;
+    return returned && m_callbacks.now() - *returned < m_settings.returnGrace;
 }
 
 } // namespace baobabtrail
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -67,7 +67,7 @@
 
     /// \param prefix Prefix of the collection's keys. \param changed Called for each change and for
     /// the first complete list. \param contact Told of each end of a call.
-    StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks ports,
+    StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks callbacks,
               Random &random, CollectionCopy &copy, Changed changed, Contact contact);
     StoreFeed(const StoreFeed &) = delete;
     StoreFeed &operator=(const StoreFeed &) = delete;
@@ -100,7 +100,7 @@
 
     std::string m_prefix;
     StoreFeedSettings m_settings;
-    StoreFeedCallbacks m_ports;
+    StoreFeedCallbacks m_callbacks;
     Random &m_random;
     CollectionCopy &m_copy;
     Changed m_changed;
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -20,10 +20,10 @@
 
 } // namespace
 
-ViewRelay::ViewRelay(std::string domain, RelaySettings settings, Callbacks ports)
+ViewRelay::ViewRelay(std::string domain, RelaySettings settings, Callbacks callbacks)
     : m_domain(std::move(domain))
     , m_settings(settings)
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(callbacks))
 {
 }
 
@@ -43,7 +43,7 @@
         const auto confirmed = m_copies.at(each.prefix)->confirmedAt();
         if (!confirmed)
             return std::nullopt;
-        oldest = std::max(oldest, m_ports.now() - *confirmed);
+        oldest = std::max(oldest, m_callbacks.now() - *confirmed);
     }
     return oldest;
 }
@@ -51,9 +51,9 @@
 std::optional<Duration> ViewRelay::sinceStoreReturn(const CollectionCopy &copy) const
 {
     const auto returned = copy.storeReturnedAt();
-    if (!returned || m_ports.now() - *returned > ReturnReportedFor)
+    if (!returned || m_callbacks.now() - *returned > ReturnReportedFor)
         return std::nullopt;
-    return m_ports.now() - *returned;
+    return m_callbacks.now() - *returned;
 }
 
 void ViewRelay::handle(const PeerQuery &query, Reply reply)
@@ -76,7 +76,7 @@
     }
     const bool stale = *age > m_settings.staleAfter;
     if (stale && query.age && *query.age <= m_settings.staleAfter)
-        m_ports.fresher(query.querier);
+        m_callbacks.fresher(query.querier);
     if (!query.oneShot && redirectIfFull(query, false, reply))
         return;
     if (hasNewer(query) || query.wait <= Duration{0})
@@ -90,7 +90,7 @@
     if (query.lacksCopy())
         return true;
     // One that asks a moment after the others were told would hear a whole wait later, at each hop.
-    const Lineage lineage = m_ports.lineage();
+    const Lineage lineage = m_callbacks.lineage();
     if (!lineage.origin.isNull() && lineage.origin == query.origin
         && lineage.heartbeat >= query.heartbeat + MinHeartbeatAdvance)
         return true;
@@ -105,7 +105,7 @@
 void ViewRelay::handleEmpty(const PeerQuery &query, Reply reply)
 {
     if (!query.lacksCopy()) {
-        m_ports.fresher(query.querier);
+        m_callbacks.fresher(query.querier);
         reply(std::nullopt);
         return;
     }
@@ -134,42 +134,42 @@
 void ViewRelay::countRedirect()
 {
     ++m_redirected;
-    m_lastRedirectAt = m_ports.now();
+    m_lastRedirectAt = m_callbacks.now();
     if (m_overflowSince)
         return;
     m_overflowSince = m_lastRedirectAt;
     m_redirectedBefore = m_redirected - 1;
-    if (m_ports.overflow)
-        m_ports.overflow({false, 0, Duration{0}, followers()});
+    if (m_callbacks.overflow)
+        m_callbacks.overflow({false, 0, Duration{0}, followers()});
 }
 
 void ViewRelay::expire()
 {
-    if (!m_overflowSince || m_ports.now() - m_lastRedirectAt < OverflowEndsAfter)
+    if (!m_overflowSince || m_callbacks.now() - m_lastRedirectAt < OverflowEndsAfter)
         return;
     const FollowerOverflow ended{true, m_redirected - m_redirectedBefore,
                                  m_lastRedirectAt - *m_overflowSince, followers()};
     m_overflowSince.reset();
-    if (m_ports.overflow)
-        m_ports.overflow(ended);
+    if (m_callbacks.overflow)
+        m_callbacks.overflow(ended);
 }
 
 void ViewRelay::hold(const PeerQuery &query, Reply reply)
 {
     const std::uint64_t id = ++m_lastId;
     m_waiting.push_back({id, query, std::move(reply)});
-    m_ports.after(std::min(query.wait, m_settings.maxWait),
-                  [this, id, alive = std::weak_ptr{m_alive}] {
-                      if (!alive.expired())
-                          timeOut(id);
-                  });
+    m_callbacks.after(std::min(query.wait, m_settings.maxWait),
+                      [this, id, alive = std::weak_ptr{m_alive}] {
+                          if (!alive.expired())
+                              timeOut(id);
+                      });
 }
 
 std::optional<PeerReferral> ViewRelay::rootIn(const std::string &domain) const
 {
     for (const auto &[address, follower] : m_followers) {
-        const bool here = m_ports.now() - follower.seenAt <= m_settings.followerTimeout;
-        if (here && follower.domain == domain && m_ports.isRoot(address))
+        const bool here = m_callbacks.now() - follower.seenAt <= m_settings.followerTimeout;
+        if (here && follower.domain == domain && m_callbacks.isRoot(address))
             return PeerReferral{address, domain};
     }
     return std::nullopt;
@@ -179,10 +179,10 @@
 // links. One that comes back after a try can't reach the root of its own domain, and is taken here.
 std::optional<PeerReferral> ViewRelay::localRoot(const PeerQuery &query)
 {
-    const TimePoint now = m_ports.now();
+    const TimePoint now = m_callbacks.now();
     std::erase_if(m_sentToLocalRoot,
                   [&](const auto &item) { return now - item.second > m_settings.followerTimeout; });
-    if (query.domain == m_domain || m_ports.isRoot(query.querier))
+    if (query.domain == m_domain || m_callbacks.isRoot(query.querier))
         return std::nullopt;
     if (m_followers.contains(query.querier))
         return std::nullopt;
@@ -202,16 +202,16 @@
 
 bool ViewRelay::admit(const PeerQuery &query)
 {
-    const TimePoint now = m_ports.now();
+    const TimePoint now = m_callbacks.now();
     std::erase_if(m_followers, [&](const auto &item) {
         return now - item.second.seenAt > m_settings.followerTimeout;
     });
     // Other roots are always answered, and must not take the places of followers.
     const auto taken
         = std::count_if(m_followers.begin(), m_followers.end(),
-                        [this](const auto &item) { return !m_ports.isRoot(item.first); });
+                        [this](const auto &item) { return !m_callbacks.isRoot(item.first); });
     const bool full = static_cast<std::size_t>(taken) >= m_settings.maxFollowers;
-    if (full && !m_followers.contains(query.querier) && !m_ports.isRoot(query.querier))
+    if (full && !m_followers.contains(query.querier) && !m_callbacks.isRoot(query.querier))
         return false;
     Follower &follower = m_followers[query.querier];
     follower.seenAt = now;
@@ -248,7 +248,7 @@
 {
     PeerAnswer answer;
     answer.domain = m_domain;
-    answer.lineage = m_ports.lineage();
+    answer.lineage = m_callbacks.lineage();
     answer.hasSlot = m_followers.contains(query.querier);
     answer.isEmpty = !complete(query);
     if (answer.isEmpty)
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -52,7 +52,7 @@
         std::function<void(const FollowerOverflow &)> overflow{}; ///< May be empty.
     };
 
-    ViewRelay(std::string domain, RelaySettings settings, Callbacks ports);
+    ViewRelay(std::string domain, RelaySettings settings, Callbacks callbacks);
     ViewRelay(const ViewRelay &) = delete;
     ViewRelay &operator=(const ViewRelay &) = delete;
 
@@ -108,7 +108,7 @@
 
     std::string m_domain;
     RelaySettings m_settings;
-    Callbacks m_ports;
+    Callbacks m_callbacks;
     std::map<std::string, const CollectionCopy *> m_copies;
     std::map<Endpoint, Follower> m_followers;
     PatchCache m_patches;
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -34,27 +34,27 @@
     PeerFeed feed;
 
     AskedFeed()
-        : feed({}, {Own, "d0"}, ports(), random,
+        : feed({}, {Own, "d0"}, callbacks(), random,
                {{"targets/", &copy, [](const CollectionChange &) {}}},
                {[](PeerState) {}, [](bool) {}})
     {
         feed.start({Root});
     }
 
-    [[nodiscard]] PeerFeedCallbacks ports()
+    [[nodiscard]] PeerFeedCallbacks callbacks()
     {
-        PeerFeedCallbacks ports;
-        ports.now = [this] { return now; };
-        ports.after = [this](Duration wait, std::function<void()> call) {
+        PeerFeedCallbacks callbacks;
+        callbacks.now = [this] { return now; };
+        callbacks.after = [this](Duration wait, std::function<void()> call) {
             pauses.push_back({now + wait, std::move(call)});
         };
-        ports.ask = [this](const Endpoint &peer, const PeerQuery &query,
-                           const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
+        callbacks.ask = [this](const Endpoint &peer, const PeerQuery &query,
+                               const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
             asked.push_back({peer, query, limits, [done = std::move(done)](PeerReply reply) {
                                  done({std::move(reply)});
                              }});
         };
-        return ports;
+        return callbacks;
     }
 
     /// \brief Lets time pass, and ends the pauses that are over.
--- a/tests/directory/store_feed_test.cpp
+++ b/tests/directory/store_feed_test.cpp
@@ -28,7 +28,7 @@
 
     ListedStore()
         : feed(
-            "targets/", {}, ports(), random, copy,
+            "targets/", {}, callbacks(), random, copy,
             [this](const CollectionChange &change) { changes.push_back(change); },
             [](const StoreCallResult &) {})
     {
@@ -37,18 +37,18 @@
             store.put(keyOf(target), "ready");
     }
 
-    [[nodiscard]] StoreFeedCallbacks ports()
+    [[nodiscard]] StoreFeedCallbacks callbacks()
     {
-        StoreFeedCallbacks ports;
-        ports.now = [this] { return time.now(); };
-        ports.after = [this](Duration wait, std::function<void()> call) {
+        StoreFeedCallbacks callbacks;
+        callbacks.now = [this] { return time.now(); };
+        callbacks.after = [this](Duration wait, std::function<void()> call) {
             time.after(wait, std::move(call));
         };
-        ports.call
+        callbacks.call
             = [this](const PlatformRequest &request, std::function<void(PlatformResult)> done) {
                   store.call(0, request, std::move(done));
               };
-        return ports;
+        return callbacks;
     }
 };
 
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -64,23 +64,23 @@
 
     explicit AskedRoutes(CollectionCopy held)
         : copy(std::move(held))
-        , feed({}, {Own, "d0"}, ports(), random,
+        , feed({}, {Own, "d0"}, callbacks(), random,
                {{"routes/", &copy, [](const CollectionChange &) {}}},
                {[](PeerState) {}, [](bool) {}})
     {
         feed.start({Root});
     }
 
-    [[nodiscard]] PeerFeedCallbacks ports()
+    [[nodiscard]] PeerFeedCallbacks callbacks()
     {
-        PeerFeedCallbacks ports;
-        ports.now = [] { return TimePoint{1h}; };
-        ports.after = [](Duration, const std::function<void()> &) {};
-        ports.ask = [this](const Endpoint &, const PeerQuery &query, const QueryTimeouts &,
-                           std::function<void(PeerResult)> done) {
+        PeerFeedCallbacks callbacks;
+        callbacks.now = [] { return TimePoint{1h}; };
+        callbacks.after = [](Duration, const std::function<void()> &) {};
+        callbacks.ask = [this](const Endpoint &, const PeerQuery &query, const QueryTimeouts &,
+                               std::function<void(PeerResult)> done) {
             asked.push_back({query, std::move(done)});
         };
-        return ports;
+        return callbacks;
     }
 };
 
