--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -58,7 +58,7 @@
     , m_callbacks(std::move(ports))
     , m_random(seed)
     , m_router(m_identity.domain, settings.flows, m_random, m_callbacks.observer)
-    , m_held(settings.flows.overload.mostHeldBytes)
+    , m_held(settings.flows.overload.maxHeldBytes)
     , m_relay(m_identity.domain, settings.relay, relayPorts())
     , m_routes(*this, "routes", RoutesPrefix, &DirectNode::applyRoutes)
     , m_targets(*this, "targets", TargetsPrefix, &DirectNode::applyTargets)
--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -60,7 +60,7 @@
     const auto before = known ? std::optional{m_targets.state(*known)} : std::nullopt;
     const bool restarted = m_targets.put(target, now);
     if (restarted)
-        m_gate.forget(target.id);
+        m_gate.erase(target.id);
     const DirectTarget &current = *m_targets.find(target.id);
     const DirectTargetState after = m_targets.state(current);
     if ((restarted || before != after) && m_observer.stateChanged)
@@ -420,7 +420,7 @@
         if (m_observer.stateChanged)
             m_observer.stateChanged({target, DirectTargetState::Gone});
     });
-    m_gate.keepOnly([this](TargetId target) { return m_targets.find(target) != nullptr; });
+    m_gate.retainOnly([this](TargetId target) { return m_targets.find(target) != nullptr; });
 }
 
 } // namespace baobabtrail
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -35,7 +35,7 @@
     const bool openedForIt = !flow.hadRequest && now - flow.establishedAt <= RequestFollowsWithin;
     const TimePoint begunAt = openedForIt ? flow.openedAt - flow.waitedBefore : now;
     const HeldRequest request{segment.flow, promiseOf(segment.flow), begunAt, now};
-    flow.held = m_gate.holds(target.entry.id, request);
+    flow.held = m_gate.tryHold(target.entry.id, request);
     target.held += flow.held ? 1 : 0;
     flow.heldEnd = flow.end;
     return flow.held;
@@ -55,7 +55,7 @@
 
 void DirectRouter::serveHeld(TimePoint now)
 {
-    for (const TargetId id : m_gate.targetsWaitedFor()) {
+    for (const TargetId id : m_gate.targetsWithHeldRequests()) {
         DirectTarget *target = m_targets.find(id);
         const bool silent = !target || target->goneAt || m_targets.isSuspect(*target);
         while (silent) {
@@ -71,7 +71,7 @@
 
 void DirectRouter::serveHeld(DirectTarget &target, TimePoint now)
 {
-    while (const auto request = m_gate.takeHopeless(target.entry.id, now))
+    while (const auto request = m_gate.takePastDeadline(target.entry.id, now))
         abandonHeld(*request);
     while (const auto request = m_gate.takeNext(target.entry.id, now))
         forwardHeld(*request, now);
@@ -80,7 +80,7 @@
 void DirectRouter::stopHolding(TimePoint now)
 {
     m_gate.stopHolding();
-    for (const TargetId target : m_gate.targetsWaitedFor()) {
+    for (const TargetId target : m_gate.targetsWithHeldRequests()) {
         while (const auto request = m_gate.takeAny(target, now))
             forwardHeld(*request, now);
     }
@@ -89,7 +89,7 @@
 void DirectRouter::cancelHold(const FlowKey &key, TimePoint now)
 {
     const auto known = m_flows.find(key);
-    if (known == m_flows.end() || !m_gate.forget(known->second.target, key))
+    if (known == m_flows.end() || !m_gate.erase(known->second.target, key))
         return;
     forwardHeld({key, {}, now, now}, now);
 }
@@ -140,7 +140,7 @@
     if (!flow.held)
         return;
     clearHeld(flow);
-    m_gate.forget(flow.target, key);
+    m_gate.erase(flow.target, key);
     m_heldOutcomes.push_back({key, false});
 }
 
@@ -155,7 +155,7 @@
     if (window->limited() == before || !m_observer.saturated)
         return;
     m_observer.saturated(
-        {target, window->limited(), window->size(), window->usualAnswer(), flow.service});
+        {target, window->limited(), window->size(), window->meanAnswerTime(), flow.service});
 }
 
 // A segment may bring the acknowledgement of an answer, or end a flow: there may be room now.
--- a/src/core/overload/held_requests.cpp
+++ b/src/core/overload/held_requests.cpp
@@ -66,7 +66,7 @@
     return std::nullopt;
 }
 
-std::optional<HeldRequest> HeldRequests::takeHopeless(Duration expected, TimePoint now)
+std::optional<HeldRequest> HeldRequests::takePastDeadline(Duration expected, TimePoint now)
 {
     for (Place place = m_requests.begin(); place != m_requests.end(); ++place) {
         const Duration timeout = place->promise.timeout;
--- a/src/core/overload/held_requests.h
+++ b/src/core/overload/held_requests.h
@@ -42,7 +42,7 @@
     [[nodiscard]] std::optional<HeldRequest> takeNext(Duration expected, bool roomForLate,
                                                       TimePoint now);
     /// \return One whose caller will have given up before an answer could come; it no longer waits.
-    [[nodiscard]] std::optional<HeldRequest> takeHopeless(Duration expected, TimePoint now);
+    [[nodiscard]] std::optional<HeldRequest> takePastDeadline(Duration expected, TimePoint now);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_requests.size(); }
 
--- a/src/core/overload/overload_settings.h
+++ b/src/core/overload/overload_settings.h
@@ -18,18 +18,18 @@
     double saturatedShare = 0.6;
     /// Fewest and most requests of this daemon that a saturated target has at once. At the most, it
     /// counts as saturated no longer.
-    double leastWindow = 0.3;
-    double mostWindow = 12.0;
+    double minWindow = 0.3;
+    double maxWindow = 12.0;
     /// The window after an answer: so much of it where answers are too slow, else so much more.
     double shrink = 0.95;
     double growth = 0.15;
     /// Share of the window that requests which are late already may fill: the next one that can
     /// still be in time then finds room.
-    double lateRoom = 0.25;
+    double lateShare = 0.25;
     /// Requests that wait for one target, and bytes that wait in all. What comes beyond that goes
     /// on: the target's own queue is bounded too, and answers what does not fit.
-    std::size_t mostHeldOfTarget = 256;
-    std::size_t mostHeldBytes = std::size_t{4} << 20;
+    std::size_t maxHeldPerTarget = 256;
+    std::size_t maxHeldBytes = std::size_t{4} << 20;
 };
 
 } // namespace baobabtrail
--- a/src/core/overload/request_gate.cpp
+++ b/src/core/overload/request_gate.cpp
@@ -21,7 +21,7 @@
     Entry *entry = find(target);
     if (!entry || entry->window.hasRoom(request.heldAt))
         return false;
-    if (entry->waiting.size() >= m_settings.mostHeldOfTarget)
+    if (entry->waiting.size() >= m_settings.maxHeldPerTarget)
         return false;
     entry->waiting.add(request);
     ++m_held;
@@ -57,10 +57,10 @@
     return counted(entry->waiting.takeNext(entry->window.usualAnswer(), roomForLate, now));
 }
 
-std::optional<HeldRequest> RequestGate::takeHopeless(TargetId target, TimePoint now)
+std::optional<HeldRequest> RequestGate::takePastDeadline(TargetId target, TimePoint now)
 {
     Entry *entry = find(target);
-    return entry ? counted(entry->waiting.takeHopeless(entry->window.usualAnswer(), now))
+    return entry ? counted(entry->waiting.takePastDeadline(entry->window.usualAnswer(), now))
                  : std::nullopt;
 }
 
@@ -70,7 +70,7 @@
     return entry ? counted(entry->waiting.takeNext(Duration{0}, true, now)) : std::nullopt;
 }
 
-bool RequestGate::forget(TargetId target, const FlowKey &flow)
+bool RequestGate::erase(TargetId target, const FlowKey &flow)
 {
     Entry *entry = find(target);
     const bool waited = entry && entry->waiting.remove(flow);
@@ -78,7 +78,7 @@
     return waited;
 }
 
-void RequestGate::forget(TargetId target)
+void RequestGate::erase(TargetId target)
 {
     const auto found = m_targets.find(target);
     if (found == m_targets.end())
@@ -87,7 +87,7 @@
     m_targets.erase(found);
 }
 
-void RequestGate::keepOnly(const std::function<bool(TargetId)> &isKnown)
+void RequestGate::retainOnly(const std::function<bool(TargetId)> &isKnown)
 {
     for (auto it = m_targets.begin(); it != m_targets.end();) {
         if (isKnown(it->first)) {
@@ -105,13 +105,13 @@
     return found == m_targets.end() ? nullptr : &found->second.window;
 }
 
-std::size_t RequestGate::heldOf(TargetId target) const
+std::size_t RequestGate::heldFor(TargetId target) const
 {
     const auto found = m_targets.find(target);
     return found == m_targets.end() ? 0 : found->second.waiting.size();
 }
 
-std::vector<TargetId> RequestGate::targetsWaitedFor() const
+std::vector<TargetId> RequestGate::targetsWithHeldRequests() const
 {
     std::vector<TargetId> out;
     for (const auto &[target, entry] : m_targets) {
--- a/src/core/overload/request_gate.h
+++ b/src/core/overload/request_gate.h
@@ -35,7 +35,7 @@
     /// \return A request that goes on now, for which there is room.
     [[nodiscard]] std::optional<HeldRequest> takeNext(TargetId target, TimePoint now);
     /// \return A request that nobody waits for any more by the time it could be answered.
-    [[nodiscard]] std::optional<HeldRequest> takeHopeless(TargetId target, TimePoint now);
+    [[nodiscard]] std::optional<HeldRequest> takePastDeadline(TargetId target, TimePoint now);
     /// \return Any request that waits for the target, which is no longer worth waiting for.
     [[nodiscard]] std::optional<HeldRequest> takeAny(TargetId target, TimePoint now);
     /// \brief Holds no request from now on; those that wait stay until they are taken.
@@ -46,15 +46,15 @@
     void forget(TargetId target);
 
     /// \brief Forgets all targets but those that \a isKnown names.
-    void keepOnly(const std::function<bool(TargetId)> &isKnown);
+    void retainOnly(const std::function<bool(TargetId)> &isKnown);
 
     /// \return The window of a target; null where nothing was learnt of it.
     [[nodiscard]] const TargetWindow *window(TargetId target) const;
-    [[nodiscard]] std::size_t heldOf(TargetId target) const;
+    [[nodiscard]] std::size_t heldFor(TargetId target) const;
     /// \return Requests that wait, of all targets.
     [[nodiscard]] std::size_t held() const noexcept { return m_held; }
     /// \return Targets for which requests wait.
-    [[nodiscard]] std::vector<TargetId> targetsWaitedFor() const;
+    [[nodiscard]] std::vector<TargetId> targetsWithHeldRequests() const;
 
 private:
     struct Entry
--- a/src/core/overload/target_window.cpp
+++ b/src/core/overload/target_window.cpp
@@ -92,13 +92,13 @@
         if (m_meanShare <= m_settings.saturatedShare)
             return;
         m_limited = true;
-        m_window = std::clamp(used(), m_settings.leastWindow, m_settings.mostWindow);
+        m_window = std::clamp(used(), m_settings.minWindow, m_settings.maxWindow);
         return;
     }
     const bool slow = m_meanShare > m_settings.saturatedShare;
-    m_window = slow ? std::max(m_window * m_settings.shrink, m_settings.leastWindow)
+    m_window = slow ? std::max(m_window * m_settings.shrink, m_settings.minWindow)
                     : m_window + m_settings.growth;
-    m_limited = m_window < m_settings.mostWindow;
+    m_limited = m_window < m_settings.maxWindow;
 }
 
 } // namespace baobabtrail
--- a/src/core/overload/target_window.h
+++ b/src/core/overload/target_window.h
@@ -40,7 +40,7 @@
     /// has room for any: without its answers nothing would be learnt of it any more.
     [[nodiscard]] bool hasRoomForLate() const noexcept
     {
-        return !m_limited || m_inFlight.empty() || used() + 1 <= m_window * m_settings.lateRoom;
+        return !m_limited || m_inFlight.empty() || used() + 1 <= m_window * m_settings.lateShare;
     }
     /// \return Requests at once; meaningless where limited() is false.
     [[nodiscard]] double size() const noexcept { return m_window; }
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -53,7 +53,7 @@
     const TargetWindow *window = node.router().gate().window(target.entry.id);
     event.field("held", target.held);
     if (window && window->limited())
-        event.field("window", window->size()).field("usual_ms", window->usualAnswer());
+        event.field("window", window->size()).field("usual_ms", window->meanAnswerTime());
 }
 
 void addView(LogEvent &event, const DirectNode &node)
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -220,14 +220,14 @@
 void readOverload(ObjectReader &reader, OverloadSettings &out)
 {
     reader.real("saturatedShare", out.saturatedShare, 0.1, 10.0);
-    reader.real("leastWindow", out.leastWindow, 0.01, 1000.0);
-    reader.real("mostWindow", out.mostWindow, 1.0, 10000.0);
-    reader.real("shrink", out.shrink, 0.1, 1.0);
-    reader.real("growth", out.growth, 0.0, 100.0);
-    reader.real("lateRoom", out.lateRoom, 0.0, 1.0);
-    reader.number("mostHeldOfTarget", out.mostHeldOfTarget, 0, 1 << 20);
-    reader.number("mostHeldBytes", out.mostHeldBytes, 0, 1 << 30);
-    if (out.mostWindow < out.leastWindow)
+    reader.real("leastWindow", out.minWindow, 0.01, 1000.0);
+    reader.real("mostWindow", out.maxWindow, 1.0, 10000.0);
+    reader.real("shrink", out.decreaseFactor, 0.1, 1.0);
+    reader.real("growth", out.increaseStep, 0.0, 100.0);
+    reader.real("lateRoom", out.lateShare, 0.0, 1.0);
+    reader.number("mostHeldOfTarget", out.maxHeldPerTarget, 0, 1 << 20);
+    reader.number("mostHeldBytes", out.maxHeldBytes, 0, 1 << 30);
+    if (out.maxWindow < out.minWindow)
         reader.note("mostWindow", "must not be less than overload.leastWindow");
 }
 
--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -125,9 +125,9 @@
     HeldRequests held{Usual};
     held.add(request(1, 0ms));
     held.add(request(2, 500ms));
-    cr_assert(!held.takeHopeless(100ms, Begin + 1000ms));
-    cr_assert(held.takeHopeless(100ms, Begin + 1150ms)->flow.caller.port == 1);
-    cr_assert(!held.takeHopeless(100ms, Begin + 1150ms));
+    cr_assert(!held.takePastDeadline(100ms, Begin + 1000ms));
+    cr_assert(held.takePastDeadline(100ms, Begin + 1150ms)->flow.caller.port == 1);
+    cr_assert(!held.takePastDeadline(100ms, Begin + 1150ms));
 }
 
 // A flood for one target must not take the daemon's memory: what is too much goes on, and the
@@ -135,7 +135,7 @@
 Test(gate, whatWaitsIsBounded)
 {
     OverloadSettings settings;
-    settings.mostHeldOfTarget = 3;
+    settings.maxHeldPerTarget = 3;
     RequestGate gate{settings};
     const TargetId target{1};
     for (int answer = 0; answer < 30; ++answer) {
@@ -147,8 +147,8 @@
     for (std::uint16_t caller = 0; caller < 3; ++caller)
         cr_assert(gate.holds(target, request(caller, 1ms)));
     cr_assert(!gate.holds(target, request(3, 1ms)));
-    cr_assert(gate.held() == 3 && gate.heldOf(target) == 3);
+    cr_assert(gate.held() == 3 && gate.heldFor(target) == 3);
     cr_assert(gate.forget(target, request(1, 1ms).flow) && gate.held() == 2);
     gate.forget(target);
-    cr_assert(gate.held() == 0 && gate.targetsWaitedFor().empty());
+    cr_assert(gate.held() == 0 && gate.targetsWithHeldRequests().empty());
 }
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -238,7 +238,7 @@
     const auto &settings = std::get<DirectDaemonSettings>(read);
     const DirectSettings &flows = settings.node.flows;
     cr_assert(!flows.overload.hold && flows.overload.newestFirst);
-    cr_assert(flows.overload.saturatedShare == 0.5 && flows.overload.mostWindow == 8.0);
+    cr_assert(flows.overload.saturatedShare == 0.5 && flows.overload.maxWindow == 8.0);
     cr_assert(!flows.mechanisms.has(Mechanism::Suspicion));
     cr_assert_eq(toString(flows.mechanisms), "suspicion holdRequests");
 
