--- a/src/core/overload/held_requests.cpp
+++ b/src/core/overload/held_requests.cpp
@@ -10,23 +10,24 @@
 [[nodiscard]] bool inTime(const HeldRequest &request, Duration expected, TimePoint now) noexcept
 {
     const Duration hoped = std::min(expected, request.promise.latency / 2);
-    return now + hoped <= request.begunAt + request.promise.latency;
+    return now + hoped <= request.waitingSince + request.promise.latency;
 }
 
 } // namespace
 
-bool HeldRequests::goesBefore(const HeldRequest &a, const HeldRequest &b) const noexcept
+bool HeldRequests::precedes(const HeldRequest &a, const HeldRequest &b) const noexcept
 {
     if (m_settings.priorities && a.promise.priority != b.promise.priority)
         return a.promise.priority < b.promise.priority;
-    return m_settings.newestFirst ? a.begunAt > b.begunAt : a.begunAt < b.begunAt;
+    return m_settings.newestFirst ? a.waitingSince > b.waitingSince
+                                  : a.waitingSince < b.waitingSince;
 }
 
-bool HeldRequests::goesBeforeLate(const HeldRequest &a, const HeldRequest &b) const noexcept
+bool HeldRequests::precedesWhenLate(const HeldRequest &a, const HeldRequest &b) const noexcept
 {
     if (m_settings.priorities && a.promise.priority != b.promise.priority)
         return a.promise.priority < b.promise.priority;
-    return a.begunAt + a.promise.timeout < b.begunAt + b.promise.timeout;
+    return a.waitingSince + a.promise.timeout < b.waitingSince + b.promise.timeout;
 }
 
 bool HeldRequests::remove(const FlowKey &flow)
@@ -36,7 +37,7 @@
            > 0;
 }
 
-HeldRequest HeldRequests::take(Place place)
+HeldRequest HeldRequests::take(Iterator place)
 {
     const HeldRequest taken = *place;
     *place = m_requests.back();
@@ -44,33 +45,32 @@
     return taken;
 }
 
-std::optional<HeldRequest> HeldRequests::takeNext(Duration expected, bool roomForLate,
-                                                  TimePoint now)
+std::optional<HeldRequest> HeldRequests::takeNext(Duration expected, bool allowLate, TimePoint now)
 {
-    const Place end = m_requests.end();
-    Place best = end;
-    Place late = end;
-    for (Place place = m_requests.begin(); place != end; ++place) {
+    const Iterator end = m_requests.end();
+    Iterator best = end;
+    Iterator late = end;
+    for (Iterator place = m_requests.begin(); place != end; ++place) {
         if (!inTime(*place, expected, now)) {
-            if (late == end || goesBeforeLate(*place, *late))
+            if (late == end || precedesWhenLate(*place, *late))
                 late = place;
             continue;
         }
-        if (best == end || goesBefore(*place, *best))
+        if (best == end || precedes(*place, *best))
             best = place;
     }
     if (best != end)
         return take(best);
-    if (late != end && roomForLate)
+    if (late != end && allowLate)
         return take(late);
     return std::nullopt;
 }
 
 std::optional<HeldRequest> HeldRequests::takePastDeadline(Duration expected, TimePoint now)
 {
-    for (Place place = m_requests.begin(); place != m_requests.end(); ++place) {
+    for (Iterator place = m_requests.begin(); place != m_requests.end(); ++place) {
         const Duration timeout = place->promise.timeout;
-        if (timeout > Duration{0} && now + expected > place->begunAt + timeout)
+        if (timeout > Duration{0} && now + expected > place->waitingSince + timeout)
             return take(place);
     }
     return std::nullopt;
--- a/src/core/overload/held_requests.h
+++ b/src/core/overload/held_requests.h
@@ -14,7 +14,7 @@
 {
     FlowKey flow;
     RequestPromise promise;
-    TimePoint begunAt; ///< When its caller began to wait, as far as is known.
+    TimePoint waitingSince; ///< When its caller began to wait, as far as is known.
     TimePoint heldAt;
 };
 
@@ -37,9 +37,9 @@
     bool remove(const FlowKey &flow);
 
     /// \param expected Time from now to the answer of what goes now.
-    /// \param roomForLate Whether one that is late already may go.
+    /// \param allowLate Whether one that is late already may go.
     /// \return The one that goes next, which no longer waits; nothing where none does.
-    [[nodiscard]] std::optional<HeldRequest> takeNext(Duration expected, bool roomForLate,
+    [[nodiscard]] std::optional<HeldRequest> takeNext(Duration expected, bool allowLate,
                                                       TimePoint now);
     /// \return One whose caller will have given up before an answer could come; it no longer waits.
     [[nodiscard]] std::optional<HeldRequest> takePastDeadline(Duration expected, TimePoint now);
@@ -47,12 +47,12 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_requests.size(); }
 
 private:
-    using Place = std::vector<HeldRequest>::iterator;
+    using Iterator = std::vector<HeldRequest>::iterator;
     /// \return Whether \a a goes before \a b, where both can still be in time.
-    [[nodiscard]] bool goesBefore(const HeldRequest &a, const HeldRequest &b) const noexcept;
+    [[nodiscard]] bool precedes(const HeldRequest &a, const HeldRequest &b) const noexcept;
     /// \return The same where both are late: the one whose caller gives up first.
-    [[nodiscard]] bool goesBeforeLate(const HeldRequest &a, const HeldRequest &b) const noexcept;
-    [[nodiscard]] HeldRequest take(Place place);
+    [[nodiscard]] bool precedesWhenLate(const HeldRequest &a, const HeldRequest &b) const noexcept;
+    [[nodiscard]] HeldRequest take(Iterator place);
 
     const OverloadSettings &m_settings;
     std::vector<HeldRequest> m_requests;
--- a/src/core/overload/overload_settings.h
+++ b/src/core/overload/overload_settings.h
@@ -21,8 +21,8 @@
     double minWindow = 0.3;
     double maxWindow = 12.0;
     /// The window after an answer: so much of it where answers are too slow, else so much more.
-    double shrink = 0.95;
-    double growth = 0.15;
+    double decreaseFactor = 0.95;
+    double increaseStep = 0.15;
     /// Share of the window that requests which are late already may fill: the next one that can
     /// still be in time then finds room.
     double lateShare = 0.25;
--- a/src/core/overload/request_gate.cpp
+++ b/src/core/overload/request_gate.cpp
@@ -8,13 +8,13 @@
     return found == m_targets.end() ? nullptr : &found->second;
 }
 
-std::optional<HeldRequest> RequestGate::counted(std::optional<HeldRequest> taken)
+std::optional<HeldRequest> RequestGate::countTaken(std::optional<HeldRequest> taken)
 {
     m_held -= taken ? 1 : 0;
     return taken;
 }
 
-bool RequestGate::holds(TargetId target, const HeldRequest &request)
+bool RequestGate::tryHold(TargetId target, const HeldRequest &request)
 {
     if (!m_settings.hold || request.promise.latency <= Duration{0})
         return false;
@@ -53,21 +53,21 @@
     Entry *entry = find(target);
     if (!entry || !entry->window.hasRoom(now))
         return std::nullopt;
-    const bool roomForLate = entry->window.hasRoomForLate();
-    return counted(entry->waiting.takeNext(entry->window.usualAnswer(), roomForLate, now));
+    const bool allowLate = entry->window.hasRoomForLate();
+    return countTaken(entry->waiting.takeNext(entry->window.meanAnswerTime(), allowLate, now));
 }
 
 std::optional<HeldRequest> RequestGate::takePastDeadline(TargetId target, TimePoint now)
 {
     Entry *entry = find(target);
-    return entry ? counted(entry->waiting.takePastDeadline(entry->window.usualAnswer(), now))
+    return entry ? countTaken(entry->waiting.takePastDeadline(entry->window.meanAnswerTime(), now))
                  : std::nullopt;
 }
 
 std::optional<HeldRequest> RequestGate::takeAny(TargetId target, TimePoint now)
 {
     Entry *entry = find(target);
-    return entry ? counted(entry->waiting.takeNext(Duration{0}, true, now)) : std::nullopt;
+    return entry ? countTaken(entry->waiting.takeNext(Duration{0}, true, now)) : std::nullopt;
 }
 
 bool RequestGate::erase(TargetId target, const FlowKey &flow)
--- a/src/core/overload/request_gate.h
+++ b/src/core/overload/request_gate.h
@@ -24,7 +24,7 @@
     RequestGate &operator=(const RequestGate &) = delete;
 
     /// \return Whether the request waits from now on; else it goes on.
-    bool holds(TargetId target, const HeldRequest &request);
+    bool tryHold(TargetId target, const HeldRequest &request);
     /// \brief A request went to the target, whether it was held or not.
     void sent(TargetId target, TimePoint now);
     /// \brief The target answered. \see TargetWindow::answered
@@ -41,9 +41,9 @@
     /// \brief Holds no request from now on; those that wait stay until they are taken.
     void stopHolding() noexcept { m_settings.hold = false; }
     /// \brief The caller has ended the flow. \return Whether a request of it waited.
-    bool forget(TargetId target, const FlowKey &flow);
+    bool erase(TargetId target, const FlowKey &flow);
     /// \brief Forgets what was learnt of a target that has gone or has started again.
-    void forget(TargetId target);
+    void erase(TargetId target);
 
     /// \brief Forgets all targets but those that \a isKnown names.
     void retainOnly(const std::function<bool(TargetId)> &isKnown);
@@ -69,7 +69,7 @@
     };
 
     [[nodiscard]] Entry *find(TargetId target);
-    [[nodiscard]] std::optional<HeldRequest> counted(std::optional<HeldRequest> taken);
+    [[nodiscard]] std::optional<HeldRequest> countTaken(std::optional<HeldRequest> taken);
 
     OverloadSettings m_settings;
     std::unordered_map<TargetId, Entry> m_targets;
--- a/src/core/overload/target_window.h
+++ b/src/core/overload/target_window.h
@@ -45,7 +45,7 @@
     /// \return Requests at once; meaningless where limited() is false.
     [[nodiscard]] double size() const noexcept { return m_window; }
     /// \return Moving mean of the time to the answer; 0 before the first one.
-    [[nodiscard]] Duration usualAnswer() const noexcept
+    [[nodiscard]] Duration meanAnswerTime() const noexcept
     {
         return Duration{static_cast<Duration::rep>(m_meanMicros)};
     }
@@ -53,15 +53,15 @@
 private:
     [[nodiscard]] double used() const noexcept { return static_cast<double>(m_inFlight.size()); }
     [[nodiscard]] bool isRefusal(double micros, TimePoint now) noexcept;
-    void forgetLost(TimePoint now);
+    void eraseLost(TimePoint now);
 
     const OverloadSettings &m_settings;
     bool m_limited = false;
     double m_window = 0;
     double m_meanShare = 0;  ///< Moving mean of the answers' share of the promised latency.
     double m_meanMicros = 0; ///< Moving mean of the answers.
-    TimePoint m_workedAt{};  ///< Last answer that took as long as work takes.
-    TimePoint m_sentAt{};
+    TimePoint m_servedAt{};  ///< Last answer that took as long as work takes.
+    TimePoint m_lastSentAt{};
     std::deque<TimePoint> m_inFlight; ///< When each request without an answer went, in order.
 };
 
--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -145,10 +145,10 @@
     }
     gate.sent(target, Begin);
     for (std::uint16_t caller = 0; caller < 3; ++caller)
-        cr_assert(gate.holds(target, request(caller, 1ms)));
-    cr_assert(!gate.holds(target, request(3, 1ms)));
+        cr_assert(gate.tryHold(target, request(caller, 1ms)));
+    cr_assert(!gate.tryHold(target, request(3, 1ms)));
     cr_assert(gate.held() == 3 && gate.heldFor(target) == 3);
-    cr_assert(gate.forget(target, request(1, 1ms).flow) && gate.held() == 2);
-    gate.forget(target);
+    cr_assert(gate.erase(target, request(1, 1ms).flow) && gate.held() == 2);
+    gate.erase(target);
     cr_assert(gate.held() == 0 && gate.targetsWithHeldRequests().empty());
 }
