--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -30,7 +30,7 @@
     [[nodiscard]] std::optional<QueueRefusal> tooLate(const QueueEntry &entry, TimePoint now) const;
     [[nodiscard]] bool makeRoom(const QueueEntry &entry, std::optional<QueueEntry> &displaced);
     [[nodiscard]] QueueRefusal refuse(RefusalCause cause, TimePoint now, Random &random);
-    [[nodiscard]] Duration comeBackAfter(Random &random) const;
+    [[nodiscard]] Duration retryAfter(Random &random) const;
 
     std::size_t capacity;
     impl::QueueLanes lanes;
@@ -72,10 +72,10 @@
     const double passed = std::chrono::duration<double>(now - refusalsAt).count();
     refusals = refusals * std::exp(-passed / RefusalsFadeSeconds) + 1.0;
     refusalsAt = now;
-    return {cause, comeBackAfter(random)};
+    return {cause, retryAfter(random)};
 }
 
-Duration AdmissionQueue::Impl::comeBackAfter(Random &random) const
+Duration AdmissionQueue::Impl::retryAfter(Random &random) const
 {
     // The refused come back over the time that serving all of them would take; a fixed wait would
     // bring the whole crowd back at one instant, to be refused again.
@@ -154,9 +154,9 @@
     return m_impl->lanes.size();
 }
 
-Duration AdmissionQueue::comeBackAfter(Random &random) const
+Duration AdmissionQueue::retryAfter(Random &random) const
 {
-    return m_impl->comeBackAfter(random);
+    return m_impl->retryAfter(random);
 }
 
 } // namespace baobabtrail
--- a/src/core/limits/admission_queue.h
+++ b/src/core/limits/admission_queue.h
@@ -27,7 +27,7 @@
 struct QueueRefusal
 {
     RefusalCause cause = RefusalCause::Overload;
-    Duration comeBackAfter{0};
+    Duration retryAfter{0};
 };
 
 /// \brief The short queue of one target at its owner.
@@ -69,7 +69,7 @@
     [[nodiscard]] std::size_t size() const noexcept;
     /// \return When a refused caller should come back, spread so that the crowd doesn't return at
     /// once.
-    [[nodiscard]] Duration comeBackAfter(Random &random) const;
+    [[nodiscard]] Duration retryAfter(Random &random) const;
 
 private:
     class Impl;
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -137,7 +137,7 @@
                            turn.now};
     const std::optional<QueueRefusal> refusal = m_dispatcher.admit(target, entry, turn);
     if (refusal) {
-        comeBackAfter = refusal->comeBackAfter;
+        comeBackAfter = refusal->retryAfter;
         return false;
     }
     record.token = m_context.keys->sealReservation(record.id, record.token);
--- a/src/core/requests/waiting_line.h
+++ b/src/core/requests/waiting_line.h
@@ -42,7 +42,7 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_queue.size() + m_adopted.size(); }
     [[nodiscard]] Duration comeBackAfter(Random &random) const
     {
-        return m_queue.comeBackAfter(random);
+        return m_queue.retryAfter(random);
     }
 
 private:
--- a/tests/limits/admission_queue_test.cpp
+++ b/tests/limits/admission_queue_test.cpp
@@ -114,7 +114,7 @@
         cr_assert_not(line.push(RequestClass::Normal));
     const auto refusal = line.push(RequestClass::Normal, "school", 500ms);
     cr_assert(refusal->cause == RefusalCause::DeadlinePassed);
-    cr_assert_gt(refusal->comeBackAfter, Duration{0});
+    cr_assert_gt(refusal->retryAfter, Duration{0});
     cr_assert_not(line.push(RequestClass::Normal, "school", 2s));
     cr_assert_not(line.push(RequestClass::Urgent, "school", 500ms));
     cr_assert(line.push(RequestClass::Urgent, "school", 0ms)->cause
@@ -168,7 +168,7 @@
     for (int i = 0; i < 200; ++i) {
         const auto refusal = line.push(RequestClass::Normal);
         if (refusal)
-            ++perTenthSecond[refusal->comeBackAfter / 100ms];
+            ++perTenthSecond[refusal->retryAfter / 100ms];
     }
     cr_assert_geq(perTenthSecond.size(), 15U);
     for (const auto &[slot, count] : perTenthSecond)
@@ -176,7 +176,7 @@
     Duration shortest = 1h;
     Duration longest{0};
     for (int i = 0; i < 100; ++i) {
-        const Duration wait = line.queue.comeBackAfter(line.random);
+        const Duration wait = line.queue.retryAfter(line.random);
         shortest = std::min(shortest, wait);
         longest = std::max(longest, wait);
     }
