--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -36,7 +36,7 @@
 
 // Requests take 40 to 60 ms of 200 ms; one of them takes a second, since its packets were lost.
 // That is no saturation: a window for it would hold what could be served at once.
-Test(window, oneLongAnswerIsNoSaturation)
+Test(window, oneSlowAnswerDoesNotSaturate)
 {
     TargetWindow window{Usual};
     for (int answer = 0; answer < 50; ++answer)
@@ -46,7 +46,7 @@
     cr_assert(!window.limited() && window.hasRoom(Begin));
 }
 
-Test(window, slowAnswersShutItAndQuickOnesOpenIt)
+Test(window, shrinksOnSlowAnswersAndGrowsOnFastOnes)
 {
     TargetWindow window = saturated(Usual);
     const double small = window.size();
@@ -58,7 +58,7 @@
 
 // Four in five requests find a full queue and are refused at once; the others take long. Taken for
 // quick answers, the refusals would open the window of a target that is full.
-Test(window, refusalsAreNoQuickAnswers)
+Test(window, refusalsDoNotCountAsFastAnswers)
 {
     TargetWindow window{Usual};
     for (int answer = 0; answer < 300; ++answer)
@@ -70,7 +70,7 @@
 // A daemon joins, and half of the flows go through it from then on, with the answers of requests
 // that this daemon had sent. Counted for ever, they would shut the window for good, and all that
 // waits for the target would wait until its callers give up.
-Test(window, answersThatAreSeenElsewhereDoNotShutItForGood)
+Test(window, requestsAnsweredThroughAnotherDaemonExpire)
 {
     TargetWindow window = saturated(Usual);
     for (int request = 0; request < 5; ++request)
@@ -82,7 +82,7 @@
 
 // Many daemons share a target, so that one request each is too many. A window of less than one
 // lets a request go from time to time.
-Test(window, aWindowOfLessThanOneIsAPause)
+Test(window, belowOneLetsARequestThroughNowAndThen)
 {
     TargetWindow window = saturated(Usual);
     cr_assert_lt(window.size(), 1.0);
@@ -107,7 +107,7 @@
 
 // Work that is late already fills the slots, and what comes a moment later has to wait for it and
 // is late as well.
-Test(heldRequests, whatIsLateLeavesRoomForWhatIsNot)
+Test(heldRequests, lateRequestsLeaveRoomForTimelyOnes)
 {
     HeldRequests held{Usual};
     held.add(request(1, 0ms));
@@ -120,7 +120,7 @@
     cr_assert_eq(held.size(), 1);
 }
 
-Test(heldRequests, whatNoAnswerCanReachIsGivenUp)
+Test(heldRequests, abandonsRequestsWhoseTimeoutCannotBeMet)
 {
     HeldRequests held{Usual};
     held.add(request(1, 0ms));
@@ -132,7 +132,7 @@
 
 // A flood for one target must not take the daemon's memory: what is too much goes on, and the
 // target's own queue answers it.
-Test(gate, whatWaitsIsBounded)
+Test(gate, boundsHeldRequests)
 {
     OverloadSettings settings;
     settings.maxHeldPerTarget = 3;
--- a/tests/overload/load_test.cpp
+++ b/tests/overload/load_test.cpp
@@ -21,7 +21,7 @@
 
 // Twice what slots carry: most requests find full queues and are refused at once. Taken for
 // quick answers, the refusals opened the windows again: 0.34 of 0.50 in time instead of 0.47.
-Test(load, twiceWhatSlotsCarry)
+Test(load, loadOfTwiceTheCapacity)
 {
     LoadPattern pattern;
     pattern.load = 2.0;
@@ -32,7 +32,7 @@
 // Callers ask for half as much again as the slots carry, for six seconds. Targets work off what
 // came first and shed the rest, which comes again: nearly every answer is late, though no slot is
 // ever idle. Held here, newest first, most of what the slots allow is in time.
-Test(load, halfAsMuchAgainAsSlotsCarry)
+Test(load, loadHalfAboveCapacity)
 {
     LoadPattern pattern;
     pattern.load = 1.5;
@@ -51,7 +51,7 @@
 }
 
 // Load a little above what slots carry is where holding can lose: it may still not cost anything.
-Test(load, aLittleMoreThanSlotsCarry)
+Test(load, loadSlightlyAboveCapacity)
 {
     LoadPattern pattern;
     pattern.load = 1.1;
@@ -91,7 +91,7 @@
 }
 
 // A flood of what is less urgent must not delay what is more urgent.
-Test(load, whatIsMoreUrgentGoesFirst)
+Test(load, moreUrgentRequestsGoFirst)
 {
     LoadPattern pattern;
     pattern.load = 2.0;
