--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double PaceGain = 0.1;
-constexpr Duration ShortestComeBack = 10ms;
-constexpr Duration LongestComeBack = 5s;
-constexpr double RefusalsFadeSeconds = 1.0;
+constexpr Duration MinRetryAfter = 10ms;
+constexpr Duration MaxRetryAfter = 5s;
+constexpr double RefusalDecaySeconds = 1.0;
 
 } // namespace
 
@@ -26,32 +26,34 @@
     {
     }
 
-    [[nodiscard]] Duration foreseenWait(std::size_t ahead) const noexcept;
-    [[nodiscard]] std::optional<QueueRefusal> tooLate(const QueueEntry &entry, TimePoint now) const;
+    [[nodiscard]] Duration expectedWait(std::size_t ahead) const noexcept;
+    [[nodiscard]] std::optional<QueueRefusal> refusalIfTooLate(const QueueEntry &entry,
+                                                               TimePoint now) const;
     [[nodiscard]] bool makeRoom(const QueueEntry &entry, std::optional<QueueEntry> &displaced);
     [[nodiscard]] QueueRefusal refuse(RefusalCause cause, TimePoint now, Random &random);
     [[nodiscard]] Duration retryAfter(Random &random) const;
 
     std::size_t capacity;
     impl::QueueLanes lanes;
-    double ran = 0; ///< Mean time of an attempt in microseconds; 0 before the first.
+    double meanRunMicros = 0; ///< Mean time of an attempt in microseconds; 0 before the first.
     double slots = 1;
     double refusals = 0; ///< Of the last second, fading.
     TimePoint refusalsAt{};
 };
 
-Duration AdmissionQueue::Impl::foreseenWait(std::size_t ahead) const noexcept
+Duration AdmissionQueue::Impl::expectedWait(std::size_t ahead) const noexcept
 {
-    return Duration{static_cast<Duration::rep>(ran / slots * static_cast<double>(ahead + 1))};
+    return Duration{
+        static_cast<Duration::rep>(meanRunMicros / slots * static_cast<double>(ahead + 1))};
 }
 
-std::optional<QueueRefusal> AdmissionQueue::Impl::tooLate(const QueueEntry &entry,
-                                                          TimePoint now) const
+std::optional<QueueRefusal> AdmissionQueue::Impl::refusalIfTooLate(const QueueEntry &entry,
+                                                                   TimePoint now) const
 {
     // Taken in, such a request would hold a place until its deadline and then fail: its caller
     // waits for nothing and another one is refused for it.
     const std::size_t ahead = lanes.ahead(entry);
-    if (now + (ahead > 0 ? foreseenWait(ahead) : Duration{0}) < entry.deadline)
+    if (now + (ahead > 0 ? expectedWait(ahead) : Duration{0}) < entry.deadline)
         return std::nullopt;
     return QueueRefusal{RefusalCause::DeadlinePassed, Duration{0}};
 }
@@ -60,17 +62,17 @@
 {
     if (lanes.size() < capacity)
         return true;
-    displaced = lanes.takeNewestOfLesserClass(entry.requestClass);
+    displaced = lanes.evictNewestOfLowerClass(entry.requestClass);
     // A workspace that floods fills every place; the others take their shares back from it.
     if (!displaced)
-        displaced = lanes.takeNewestOfGreedier(entry);
+        displaced = lanes.evictNewestOfHeaviestWorkspace(entry);
     return displaced.has_value();
 }
 
 QueueRefusal AdmissionQueue::Impl::refuse(RefusalCause cause, TimePoint now, Random &random)
 {
     const double passed = std::chrono::duration<double>(now - refusalsAt).count();
-    refusals = refusals * std::exp(-passed / RefusalsFadeSeconds) + 1.0;
+    refusals = refusals * std::exp(-passed / RefusalDecaySeconds) + 1.0;
     refusalsAt = now;
     return {cause, retryAfter(random)};
 }
@@ -79,13 +81,13 @@
 {
     // The refused come back over the time that serving all of them would take; a fixed wait would
     // bring the whole crowd back at one instant, to be refused again.
-    const double perEntry = ran / slots;
+    const double perEntry = meanRunMicros / slots;
     const double drain = perEntry * static_cast<double>(lanes.size());
-    const double shortest = std::max(drain, static_cast<double>(ShortestComeBack.count()));
+    const double shortest = std::max(drain, static_cast<double>(MinRetryAfter.count()));
     const double longest = 2 * shortest + perEntry * refusals;
     boost::random::uniform_real_distribution<double> spread{shortest, longest};
     const Duration wait{static_cast<Duration::rep>(spread(random))};
-    return std::min(wait, LongestComeBack);
+    return std::min(wait, MaxRetryAfter);
 }
 
 AdmissionQueue::AdmissionQueue(std::size_t capacity)
@@ -112,15 +114,15 @@
                                                  std::optional<QueueEntry> &displaced)
 {
     displaced.reset();
-    if (std::optional<QueueRefusal> late = m_impl->tooLate(entry, now)) {
+    if (std::optional<QueueRefusal> late = m_impl->refusalIfTooLate(entry, now)) {
         if (entry.deadline > now)
             late = m_impl->refuse(RefusalCause::DeadlinePassed, now, random);
         return late;
     }
     if (!m_impl->makeRoom(entry, displaced)) {
-        const bool greedy = m_impl->lanes.aboveShare(entry.workspace, m_impl->capacity);
-        return m_impl->refuse(greedy ? RefusalCause::WorkspaceLimit : RefusalCause::Overload, now,
-                              random);
+        const bool overShare = m_impl->lanes.aboveShare(entry.workspace, m_impl->capacity);
+        return m_impl->refuse(overShare ? RefusalCause::WorkspaceLimit : RefusalCause::Overload,
+                              now, random);
     }
     m_impl->lanes.add(entry);
     return std::nullopt;
@@ -142,10 +144,11 @@
     return m_impl->lanes.remove(request);
 }
 
-void AdmissionQueue::slotFreed(Duration ran, std::uint32_t slots, TimePoint) noexcept
+void AdmissionQueue::slotFreed(Duration runTime, std::uint32_t slots, TimePoint) noexcept
 {
-    const auto sample = static_cast<double>(ran.count());
-    m_impl->ran += (m_impl->ran == 0 ? 1.0 : PaceGain) * (sample - m_impl->ran);
+    const auto sample = static_cast<double>(runTime.count());
+    m_impl->meanRunMicros
+        += (m_impl->meanRunMicros == 0 ? 1.0 : PaceGain) * (sample - m_impl->meanRunMicros);
     m_impl->slots = std::max(slots, 1U);
 }
 
--- a/src/core/limits/admission_queue.h
+++ b/src/core/limits/admission_queue.h
@@ -19,7 +19,7 @@
     RequestClass requestClass = RequestClass::Normal;
     std::string workspace;
     TimePoint deadline;
-    TimePoint since;
+    TimePoint arrivedAt;
     bool ready = true; ///< False while it only holds a place: its data has not come yet.
 };
 
@@ -63,8 +63,8 @@
     [[nodiscard]] std::optional<QueueEntry> pop(TimePoint now, std::vector<QueueEntry> &expired);
     /// \return Whether it was there.
     bool remove(const RequestId &request);
-    /// \brief A slot came free after \a ran; the pace by which waits are foreseen.
-    void slotFreed(Duration ran, std::uint32_t slots, TimePoint now) noexcept;
+    /// \brief A slot came free after \a meanRunMicros; the pace by which waits are foreseen.
+    void slotFreed(Duration runTime, std::uint32_t slots, TimePoint now) noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept;
     /// \return When a refused caller should come back, spread so that the crowd doesn't return at
--- a/src/core/limits/impl/queue_lanes.cpp
+++ b/src/core/limits/impl/queue_lanes.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double OrdinaryWeight = 100;
+constexpr double DefaultWeight = 100;
 
 [[nodiscard]] std::size_t laneOf(RequestClass requestClass) noexcept
 {
@@ -97,7 +97,7 @@
         if (!next)
             continue;
         m_virtualTime = std::max(m_virtualTime, next->virtualTime);
-        next->virtualTime += OrdinaryWeight / next->weight;
+        next->virtualTime += DefaultWeight / next->weight;
         return take(next->ready[lane].begin()->second.request);
     }
     return std::nullopt;
@@ -131,7 +131,7 @@
     return take(RequestId{newest->request});
 }
 
-std::optional<QueueEntry> QueueLanes::takeNewestOfLesserClass(RequestClass than)
+std::optional<QueueEntry> QueueLanes::evictNewestOfLowerClass(RequestClass than)
 {
     for (std::size_t lane = RequestClassCount - 1; lane > laneOf(than); --lane) {
         if (m_perClass[lane] > 0)
@@ -150,11 +150,11 @@
     return static_cast<double>(capacity) * workspace.weight / std::max(weights, 1.0);
 }
 
-std::optional<QueueEntry> QueueLanes::takeNewestOfGreedier(const QueueEntry &arrival)
+std::optional<QueueEntry> QueueLanes::evictNewestOfHeaviestWorkspace(const QueueEntry &arrival)
 {
     const Workspace &mine = workspaceOf(arrival.workspace);
     const std::size_t lane = laneOf(arrival.requestClass);
-    Workspace *greediest = nullptr;
+    Workspace *heaviest = nullptr;
     double most = (static_cast<double>(mine.held) + 1) / mine.weight;
     for (auto &[name, workspace] : m_workspaces) {
         const double held = static_cast<double>(workspace.held) / workspace.weight;
@@ -162,11 +162,11 @@
         if (!inLane || held <= most)
             continue;
         most = held;
-        greediest = &workspace;
+        heaviest = &workspace;
     }
-    if (!greediest)
+    if (!heaviest)
         return std::nullopt;
-    return takeNewest(lane, greediest);
+    return takeNewest(lane, heaviest);
 }
 
 std::size_t QueueLanes::ahead(const QueueEntry &arrival) const noexcept
--- a/src/core/limits/impl/queue_lanes.h
+++ b/src/core/limits/impl/queue_lanes.h
@@ -28,10 +28,11 @@
     bool remove(const RequestId &request);
     [[nodiscard]] std::optional<QueueEntry> takeNext();
     void takeExpired(TimePoint now, std::vector<QueueEntry> &expired);
-    [[nodiscard]] std::optional<QueueEntry> takeNewestOfLesserClass(RequestClass than);
+    [[nodiscard]] std::optional<QueueEntry> evictNewestOfLowerClass(RequestClass than);
     /// \brief Takes the newest entry of the arrival's class from the workspace that holds most for
     /// its weight, where that is more than the arrival's workspace would hold.
-    [[nodiscard]] std::optional<QueueEntry> takeNewestOfGreedier(const QueueEntry &arrival);
+    [[nodiscard]] std::optional<QueueEntry>
+    evictNewestOfHeaviestWorkspace(const QueueEntry &arrival);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_byRequest.size(); }
     /// \return Entries that start before \a arrival would.
--- a/tests/limits/admission_queue_test.cpp
+++ b/tests/limits/admission_queue_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-struct Line
+struct QueueFixture
 {
-    explicit Line(std::size_t capacity)
+    explicit QueueFixture(std::size_t capacity)
         : queue(capacity)
     {
     }
@@ -38,30 +38,30 @@
 
 Test(admissionQueue, urgentGoesFirstThenArrival)
 {
-    Line line{10};
-    cr_assert_not(line.push(RequestClass::Bulk));
-    cr_assert_not(line.push(RequestClass::Normal));
-    cr_assert_not(line.push(RequestClass::Normal));
-    cr_assert_not(line.push(RequestClass::Urgent));
+    QueueFixture fixture{10};
+    cr_assert_not(fixture.push(RequestClass::Bulk));
+    cr_assert_not(fixture.push(RequestClass::Normal));
+    cr_assert_not(fixture.push(RequestClass::Normal));
+    cr_assert_not(fixture.push(RequestClass::Urgent));
     for (const std::uint64_t expected : {4U, 2U, 3U, 1U})
-        cr_assert_eq(line.pop()->request.low, expected);
-    cr_assert_not(line.pop());
+        cr_assert_eq(fixture.pop()->request.low, expected);
+    cr_assert_not(fixture.pop());
 }
 
 // The queue is full of uploads when a pass check arrives.
 // The newest upload gives way and is answered as not run; an upload that arrives is refused.
 Test(admissionQueue, anUrgentArrivalDisplacesTheNewestOfALesserClass)
 {
-    Line line{3};
-    cr_assert_not(line.push(RequestClass::Bulk));
-    cr_assert_not(line.push(RequestClass::Normal));
-    cr_assert_not(line.push(RequestClass::Bulk));
-    cr_assert_not(line.push(RequestClass::Urgent));
-    cr_assert_eq(line.displaced->request.low, 3U);
-    const std::optional<QueueRefusal> refusal = line.push(RequestClass::Bulk);
+    QueueFixture fixture{3};
+    cr_assert_not(fixture.push(RequestClass::Bulk));
+    cr_assert_not(fixture.push(RequestClass::Normal));
+    cr_assert_not(fixture.push(RequestClass::Bulk));
+    cr_assert_not(fixture.push(RequestClass::Urgent));
+    cr_assert_eq(fixture.displaced->request.low, 3U);
+    const std::optional<QueueRefusal> refusal = fixture.push(RequestClass::Bulk);
     cr_assert(refusal->cause == RefusalCause::Overload);
-    cr_assert_not(line.displaced);
-    cr_assert_eq(line.queue.size(), 3U);
+    cr_assert_not(fixture.displaced);
+    cr_assert_eq(fixture.queue.size(), 3U);
 }
 
 // One workspace fills the queue before the other's first request arrives.
@@ -69,17 +69,18 @@
 Test(admissionQueue, aFloodCostsOtherWorkspacesLittle)
 {
     for (const std::uint32_t weight : {100U, 300U}) {
-        Line line{40};
-        line.queue.setWorkspaceWeight("library", weight);
+        QueueFixture fixture{40};
+        fixture.queue.setWorkspaceWeight("library", weight);
         for (int i = 0; i < 100; ++i)
-            (void)line.push(RequestClass::Normal, "flood");
-        cr_assert(line.push(RequestClass::Normal, "flood")->cause == RefusalCause::Overload);
+            (void)fixture.push(RequestClass::Normal, "flood");
+        cr_assert(fixture.push(RequestClass::Normal, "flood")->cause == RefusalCause::Overload);
         for (int i = 0; i < 10; ++i)
-            cr_assert_not(line.push(RequestClass::Normal, "library"));
-        cr_assert(line.push(RequestClass::Normal, "flood")->cause == RefusalCause::WorkspaceLimit);
+            cr_assert_not(fixture.push(RequestClass::Normal, "library"));
+        cr_assert(fixture.push(RequestClass::Normal, "flood")->cause
+                  == RefusalCause::WorkspaceLimit);
         std::map<std::string, std::uint32_t> turns;
         for (int i = 0; i < 12; ++i)
-            ++turns[line.pop()->workspace];
+            ++turns[fixture.pop()->workspace];
         cr_assert_eq(turns["library"], weight == 100 ? 6U : 9U);
     }
 }
@@ -87,18 +88,18 @@
 // A workspace that was away comes back. It gets its turns from now on, not those that it missed.
 Test(admissionQueue, anIdleWorkspaceSavesUpNoTurns)
 {
-    Line line{100};
+    QueueFixture fixture{100};
     for (int i = 0; i < 50; ++i) {
-        cr_assert_not(line.push(RequestClass::Normal, "library"));
-        (void)line.pop();
+        cr_assert_not(fixture.push(RequestClass::Normal, "library"));
+        (void)fixture.pop();
     }
     for (int i = 0; i < 10; ++i) {
-        cr_assert_not(line.push(RequestClass::Normal, "library"));
-        cr_assert_not(line.push(RequestClass::Normal, "school"));
+        cr_assert_not(fixture.push(RequestClass::Normal, "library"));
+        cr_assert_not(fixture.push(RequestClass::Normal, "school"));
     }
     std::map<std::string, int> turns;
     for (int i = 0; i < 10; ++i)
-        ++turns[line.pop()->workspace];
+        ++turns[fixture.pop()->workspace];
     cr_assert(turns["school"] >= 4 && turns["school"] <= 6);
 }
 
@@ -107,66 +108,66 @@
 // taken.
 Test(admissionQueue, whatCannotStartInTimeIsRefusedOnArrival)
 {
-    Line line{100};
+    QueueFixture fixture{100};
     for (int i = 0; i < 20; ++i)
-        line.queue.slotFreed(100ms, 1, line.now);
+        fixture.queue.slotFreed(100ms, 1, fixture.now);
     for (int i = 0; i < 10; ++i)
-        cr_assert_not(line.push(RequestClass::Normal));
-    const auto refusal = line.push(RequestClass::Normal, "school", 500ms);
+        cr_assert_not(fixture.push(RequestClass::Normal));
+    const auto refusal = fixture.push(RequestClass::Normal, "school", 500ms);
     cr_assert(refusal->cause == RefusalCause::DeadlinePassed);
     cr_assert_gt(refusal->retryAfter, Duration{0});
-    cr_assert_not(line.push(RequestClass::Normal, "school", 2s));
-    cr_assert_not(line.push(RequestClass::Urgent, "school", 500ms));
-    cr_assert(line.push(RequestClass::Urgent, "school", 0ms)->cause
+    cr_assert_not(fixture.push(RequestClass::Normal, "school", 2s));
+    cr_assert_not(fixture.push(RequestClass::Urgent, "school", 500ms));
+    cr_assert(fixture.push(RequestClass::Urgent, "school", 0ms)->cause
               == RefusalCause::DeadlinePassed);
 }
 
-Test(admissionQueue, expiredEntriesComeOutApart)
+Test(admissionQueue, expiredEntriesAreReturnedSeparately)
 {
-    Line line{10};
-    cr_assert_not(line.push(RequestClass::Normal, "school", 50ms));
-    cr_assert_not(line.push(RequestClass::Normal, "school", 5s));
-    line.now += 50ms;
-    cr_assert_eq(line.pop()->request.low, 2U);
-    cr_assert_eq(line.expired.size(), 1U);
-    cr_assert_eq(line.expired.front().request.low, 1U);
-    cr_assert_eq(line.queue.size(), 0U);
+    QueueFixture fixture{10};
+    cr_assert_not(fixture.push(RequestClass::Normal, "school", 50ms));
+    cr_assert_not(fixture.push(RequestClass::Normal, "school", 5s));
+    fixture.now += 50ms;
+    cr_assert_eq(fixture.pop()->request.low, 2U);
+    cr_assert_eq(fixture.expired.size(), 1U);
+    cr_assert_eq(fixture.expired.front().request.low, 1U);
+    cr_assert_eq(fixture.queue.size(), 0U);
 }
 
 // A reservation holds its place while its data is on the way; a free slot goes to one that is
 // ready.
 Test(admissionQueue, aReservationHoldsAPlaceButNoSlot)
 {
-    Line line{2};
-    cr_assert_not(line.push(RequestClass::Normal, "school", 10s, false));
-    cr_assert_not(line.push(RequestClass::Normal));
-    cr_assert(line.push(RequestClass::Normal), "both places are taken");
-    cr_assert_eq(line.pop()->request.low, 2U);
-    cr_assert_not(line.pop());
-    cr_assert(line.queue.setReady({0, 1}));
-    cr_assert_eq(line.pop()->request.low, 1U);
-    cr_assert_not(line.queue.setReady({0, 1}));
+    QueueFixture fixture{2};
+    cr_assert_not(fixture.push(RequestClass::Normal, "school", 10s, false));
+    cr_assert_not(fixture.push(RequestClass::Normal));
+    cr_assert(fixture.push(RequestClass::Normal), "both places are taken");
+    cr_assert_eq(fixture.pop()->request.low, 2U);
+    cr_assert_not(fixture.pop());
+    cr_assert(fixture.queue.setReady({0, 1}));
+    cr_assert_eq(fixture.pop()->request.low, 1U);
+    cr_assert_not(fixture.queue.setReady({0, 1}));
 }
 
 Test(admissionQueue, removedEntriesFreeTheirPlaces)
 {
-    Line line{1};
-    cr_assert_not(line.push(RequestClass::Normal));
-    cr_assert(line.queue.remove({0, 1}));
-    cr_assert_not(line.queue.remove({0, 1}));
-    cr_assert_not(line.push(RequestClass::Normal));
+    QueueFixture fixture{1};
+    cr_assert_not(fixture.push(RequestClass::Normal));
+    cr_assert(fixture.queue.remove({0, 1}));
+    cr_assert_not(fixture.queue.remove({0, 1}));
+    cr_assert_not(fixture.push(RequestClass::Normal));
 }
 
 // A crowd is refused at one instant. Its members come back spread over the time that serving them
 // all would take, not together.
-Test(admissionQueue, theRefusedComeBackSpreadOut)
+Test(admissionQueue, refusedCallersRetrySpreadOut)
 {
-    Line line{10};
+    QueueFixture fixture{10};
     for (int i = 0; i < 20; ++i)
-        line.queue.slotFreed(20ms, 2, line.now);
+        fixture.queue.slotFreed(20ms, 2, fixture.now);
     std::map<std::int64_t, int> perTenthSecond;
     for (int i = 0; i < 200; ++i) {
-        const auto refusal = line.push(RequestClass::Normal);
+        const auto refusal = fixture.push(RequestClass::Normal);
         if (refusal)
             ++perTenthSecond[refusal->retryAfter / 100ms];
     }
@@ -176,7 +177,7 @@
     Duration shortest = 1h;
     Duration longest{0};
     for (int i = 0; i < 100; ++i) {
-        const Duration wait = line.queue.retryAfter(line.random);
+        const Duration wait = fixture.queue.retryAfter(fixture.random);
         shortest = std::min(shortest, wait);
         longest = std::max(longest, wait);
     }
