--- a/bench/policy/decision_cost.h
+++ b/bench/policy/decision_cost.h
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < layout.targets; ++i) {
         const TargetId target = targetOf(i, layout).id;
         table.linkVerified(target, theService(), {}, TimePoint{});
-        table.hint({target, 0.5F, 20.0F}, TimePoint{});
+        table.applyHint({target, 0.5F, 20.0F}, TimePoint{});
     }
     const auto at = [](std::size_t i) { return TimePoint{} + std::chrono::microseconds(i); };
     const double request = nanosecondsOf(CallsMeasured, [&](std::size_t i) {
--- a/bench/policy/flow_run.h
+++ b/bench/policy/flow_run.h
@@ -319,7 +319,7 @@
                 const LoadHint load = m_tables[at]->loadOf(target, m_sim.now());
                 m_sim.after(hop(), [this, entry, load] {
                     if (m_alive[entry])
-                        m_tables[entry]->hint(load, m_sim.now());
+                        m_tables[entry]->applyHint(load, m_sim.now());
                 });
             });
         });
--- a/bench/policy/product_way.h
+++ b/bench/policy/product_way.h
@@ -179,7 +179,7 @@
     {
         TargetTable &table = m_daemons[at]->table;
         for (const LoadHint &hint : ask.declined)
-            table.hint(hint, m_run.sim.now());
+            table.applyHint(hint, m_run.sim.now());
         const LoadHint load = table.loadOf(target, m_run.sim.now());
         const bool takes = table.takesWork(target, m_run.sim.now());
         if (takes && (load.requests < 1.0F || ask.hops >= MaxHops)) {
@@ -225,7 +225,7 @@
                             if (!m_run.daemonUp[entry])
                                 return;
                             for (const LoadHint &hint : hints)
-                                m_daemons[entry]->table.hint(hint, m_run.sim.now());
+                                m_daemons[entry]->table.applyHint(hint, m_run.sim.now());
                             atCaller();
                         });
     }
--- a/bench/random/random_placement.cpp
+++ b/bench/random/random_placement.cpp
@@ -51,6 +51,6 @@
     return declined.empty() ? anyOf(group(service), random) : std::nullopt;
 }
 
-void TargetTable::Impl::hint(const LoadHint &, TimePoint) {}
+void TargetTable::Impl::applyHint(const LoadHint &, TimePoint) {}
 
 } // namespace baobabtrail
--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -53,7 +53,7 @@
 void FlowRouter::fromPeer(Handoff ask, Turn &turn)
 {
     for (const LoadHint &hint : ask.hints)
-        m_context.targets.hint(hint, turn.now);
+        m_context.targets.applyHint(hint, turn.now);
     if (m_context.targets.owns(ask.target)) {
         if (offer(ask, ask.target, turn))
             return;
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -40,7 +40,7 @@
 void RequestOwner::fromPeer(Handoff ask, Turn &turn)
 {
     for (const LoadHint &hint : ask.hints)
-        m_context.targets.hint(hint, turn.now);
+        m_context.targets.applyHint(hint, turn.now);
     reserve(std::move(ask), true, turn);
 }
 
--- a/src/core/targets/impl/heard_load.cpp
+++ b/src/core/targets/impl/heard_load.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void HeardLoad::hint(const LoadHint &hint, TimePoint now) noexcept
+void HeardLoad::applyHint(const LoadHint &hint, TimePoint now) noexcept
 {
     m_last = hint;
     m_heardAt = now;
--- a/src/core/targets/impl/heard_load.h
+++ b/src/core/targets/impl/heard_load.h
@@ -14,7 +14,7 @@
 class HeardLoad
 {
 public:
-    void hint(const LoadHint &hint, TimePoint now) noexcept;
+    void applyHint(const LoadHint &hint, TimePoint now) noexcept;
     void sentRequest(double share) noexcept { m_requestsSent += share; }
     void sentFlow(double share) noexcept { m_flowsSent += share; }
 
--- a/src/core/targets/impl/placement.cpp
+++ b/src/core/targets/impl/placement.cpp
@@ -238,13 +238,13 @@
     return chosen(*best);
 }
 
-void TargetTable::Impl::hint(const LoadHint &hint, TimePoint now)
+void TargetTable::Impl::applyHint(const LoadHint &hint, TimePoint now)
 {
     Record *record = find(hint.target);
     if (!record || record->own)
         return;
     const bool before = record->heard.unavailable(now);
-    record->heard.hint(hint, now);
+    record->heard.applyHint(hint, now);
     Group *holder = group(record->service);
     if (!holder)
         return;
--- a/src/core/targets/impl/table.h
+++ b/src/core/targets/impl/table.h
@@ -107,7 +107,7 @@
     [[nodiscard]] std::optional<PlacementChoice>
     chooseForFlow(ServiceId service, FlowId flow, std::uint32_t attempt,
                   const std::vector<LoadHint> &declined, TimePoint now, Random &random);
-    void hint(const LoadHint &hint, TimePoint now);
+    void applyHint(const LoadHint &hint, TimePoint now);
 
     [[nodiscard]] std::optional<Duration> reopenDelay(TargetId target, std::uint32_t unanswered,
                                                       TimePoint now, Random &random);
--- a/src/core/targets/target_table.cpp
+++ b/src/core/targets/target_table.cpp
@@ -46,9 +46,9 @@
     return m_impl->chooseForRequest(service, declined, now, random);
 }
 
-void TargetTable::hint(const LoadHint &hint, TimePoint now)
+void TargetTable::applyHint(const LoadHint &hint, TimePoint now)
 {
-    m_impl->hint(hint, now);
+    m_impl->applyHint(hint, now);
 }
 
 bool TargetTable::owns(TargetId target) const noexcept
--- a/src/core/targets/target_table.h
+++ b/src/core/targets/target_table.h
@@ -65,7 +65,7 @@
                      const std::vector<LoadHint> &declined, TimePoint now, Random &random);
 
     /// \brief Takes in a load that rode on an answer.
-    void hint(const LoadHint &hint, TimePoint now);
+    void applyHint(const LoadHint &hint, TimePoint now);
 
     // At the owner of a target.
 
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -88,7 +88,7 @@
 void passReply(NodeContext &context, Turn &turn, const HandoffReply &reply)
 {
     for (const LoadHint &hint : reply.hints)
-        context.targets.hint(hint, turn.now);
+        context.targets.applyHint(hint, turn.now);
     sendToCaller(turn, reply.caller, reply.reply);
 }
 
--- a/tests/targets/evidence_test.cpp
+++ b/tests/targets/evidence_test.cpp
@@ -202,7 +202,7 @@
     const TargetId own = fleet.table.owned().front();
     const auto index = own == Fleet::target(0) ? 0 : own == Fleet::target(1) ? 1 : 2;
     for (int i = 0; i < 200; ++i)
-        fleet.table.hint({Fleet::target((index + 1 + i % 2) % 3), 4.0F, 0.0F}, fleet.now);
+        fleet.table.applyHint({Fleet::target((index + 1 + i % 2) % 3), 4.0F, 0.0F}, fleet.now);
     fleet.table.attemptStarted(own, fleet.now);
     fleet.table.attemptStarted(own, fleet.now);
     cr_assert_not(fleet.table.slotFree(own, fleet.now), "nobody waits");
--- a/tests/targets/placement_test.cpp
+++ b/tests/targets/placement_test.cpp
@@ -35,17 +35,17 @@
 {
     const auto fleet = withoutOwn();
     for (std::size_t i = 2; i < 10; ++i)
-        fleet->table.hint({Fleet::target(i), 0.8F, 0.0F}, fleet->now);
-    fleet->table.hint({Fleet::target(0), 0.0F, 0.0F}, fleet->now);
-    fleet->table.hint({Fleet::target(1), 50.0F, 0.0F}, fleet->now);
+        fleet->table.applyHint({Fleet::target(i), 0.8F, 0.0F}, fleet->now);
+    fleet->table.applyHint({Fleet::target(0), 0.0F, 0.0F}, fleet->now);
+    fleet->table.applyHint({Fleet::target(1), 50.0F, 0.0F}, fleet->now);
     fleet->now += 5s;
     std::map<TargetId, int> counts;
     for (int i = 0; i < 1000; ++i) {
         // An answer for each ask, so that no owner seems to be silent.
         const TargetId chosen = fleet->choose()->target;
         ++counts[chosen];
-        fleet->table.hint({Fleet::target(5), 0.8F, 0.0F}, fleet->now);
-        fleet->table.hint({Fleet::target(6), 0.8F, 0.0F}, fleet->now);
+        fleet->table.applyHint({Fleet::target(5), 0.8F, 0.0F}, fleet->now);
+        fleet->table.applyHint({Fleet::target(6), 0.8F, 0.0F}, fleet->now);
         fleet->now += 1ms;
     }
     cr_assert_lt(counts[Fleet::target(0)], 250);
@@ -59,8 +59,8 @@
     for (std::size_t i = 2; i < 10; ++i)
         fleet->targetConfig(i).state = TargetState::Draining;
     fleet->apply();
-    fleet->table.hint({Fleet::target(0), 0.0F, 0.0F}, fleet->now);
-    fleet->table.hint({Fleet::target(1), 5.0F, 0.0F}, fleet->now);
+    fleet->table.applyHint({Fleet::target(0), 0.0F, 0.0F}, fleet->now);
+    fleet->table.applyHint({Fleet::target(1), 5.0F, 0.0F}, fleet->now);
     const std::map<TargetId, int> counts = countChoices(*fleet, 30);
     cr_assert_eq(counts.at(Fleet::target(0)), 20);
 }
@@ -74,7 +74,7 @@
         fleet->targetConfig(i).evacuated = true;
     fleet->apply();
     for (std::size_t i = 0; i < 10; ++i)
-        fleet->table.hint({Fleet::target(i), i < 2 ? 5.0F : 0.0F, 0.0F}, fleet->now);
+        fleet->table.applyHint({Fleet::target(i), i < 2 ? 5.0F : 0.0F, 0.0F}, fleet->now);
     const std::map<TargetId, int> counts = countChoices(*fleet, 30);
     cr_assert_eq(counts.at(Fleet::target(0)) + counts.at(Fleet::target(1)), 30);
 }
@@ -94,7 +94,7 @@
         if (ownerOf(chosen) == DaemonId{3})
             ++toSilent;
         else
-            fleet.table.hint({chosen, 0.8F, 0.0F}, fleet.now);
+            fleet.table.applyHint({chosen, 0.8F, 0.0F}, fleet.now);
         fleet.now += 10ms;
     }
     cr_assert_lt(toSilent, 25, "%d of 400", toSilent);
@@ -144,7 +144,7 @@
     cr_assert(fleet.choose()->own);
     fleet.table.attemptStarted(Fleet::target(0), fleet.now);
     fleet.table.attemptStarted(Fleet::target(0), fleet.now);
-    fleet.table.hint({Fleet::target(1), 0.0F, 0.0F}, fleet.now);
+    fleet.table.applyHint({Fleet::target(1), 0.0F, 0.0F}, fleet.now);
     const std::optional<PlacementChoice> spilled = fleet.choose();
     cr_assert(spilled->target == Fleet::target(1));
     cr_assert(spilled->owner == smouha.ownerOf(Fleet::target(1))->address);
@@ -176,8 +176,9 @@
     int moved = 0;
     for (std::uint64_t flow = 1; flow <= 200; ++flow) {
         for (std::size_t i = 0; i < 10; ++i) {
-            one->table.hint({Fleet::target(i), 0.0F, 20.0F}, one->now);
-            other->table.hint({Fleet::target(i), 0.0F, i % 2 == 0 ? 20.1F : 19.9F}, other->now);
+            one->table.applyHint({Fleet::target(i), 0.0F, 20.0F}, one->now);
+            other->table.applyHint({Fleet::target(i), 0.0F, i % 2 == 0 ? 20.1F : 19.9F},
+                                   other->now);
         }
         const TargetId first = one->chooseFlow(flow)->target;
         cr_assert(other->chooseFlow(flow, 1)->target == first);
@@ -198,7 +199,7 @@
             ++index;
         const TargetId other = Fleet::target(index);
         for (int i = 0; i < 100; ++i)
-            fleet.table.hint({other, 0.0F, 10.0F}, fleet.now);
+            fleet.table.applyHint({other, 0.0F, 10.0F}, fleet.now);
         for (int i = 0; i < 1000; ++i) {
             fleet.table.flowOffered(own, fleet.now);
             fleet.table.flowAccepted(own, {0, 0, claim}, fleet.now);
