--- a/src/core/targets/impl/concurrency_limit.cpp
+++ b/src/core/targets/impl/concurrency_limit.cpp
@@ -14,7 +14,7 @@
 constexpr double RecentGain = 0.1;
 constexpr double BaselineGain = 0.005;
 constexpr double ToleratedGrowth = 1.3;
-constexpr double Rounding = 1e-6;
+constexpr double RoundingTolerance = 1e-6;
 constexpr Duration ShedBurst = 10ms;
 
 } // namespace
@@ -26,27 +26,27 @@
     m_slots = wanted;
 }
 
-void ConcurrencyLimit::succeeded(std::uint32_t running, Duration ran) noexcept
+void ConcurrencyLimit::succeeded(std::uint32_t running, Duration runTime) noexcept
 {
-    const auto sample = static_cast<double>(ran.count());
+    const auto sample = static_cast<double>(runTime.count());
     m_recent += (m_recent == 0 ? 1 : RecentGain) * (sample - m_recent);
     m_baseline += (m_baseline == 0 ? 1 : BaselineGain) * (sample - m_baseline);
-    if (running < whole())
+    if (running < maxAttempts())
         return;
     // Raising while answers slow down would only move the queue from the owner into the target,
     // where it can no longer be reordered or refused.
     if (m_recent > ToleratedGrowth * m_baseline)
         return;
-    m_fullUse += 1;
-    if (m_fullUse < SuccessesPerSlot * m_limit)
+    m_fullUseSuccesses += 1;
+    if (m_fullUseSuccesses < SuccessesPerSlot * m_limit)
         return;
-    m_fullUse = 0;
+    m_fullUseSuccesses = 0;
     m_limit = std::min(m_limit + RaiseStep * m_slots, CeilingOverSlots * m_slots);
 }
 
 void ConcurrencyLimit::shed(TimePoint now) noexcept
 {
-    m_fullUse = 0;
+    m_fullUseSuccesses = 0;
     // One overload sheds several attempts together; taking each for news would drop the limit to
     // one at a single burst.
     if (m_lastShed != TimePoint::min() && now - m_lastShed < ShedBurst)
@@ -55,9 +55,10 @@
     m_limit = std::max(1.0, m_limit * ShedFactor);
 }
 
-std::uint32_t ConcurrencyLimit::whole(double share) const noexcept
+std::uint32_t ConcurrencyLimit::maxAttempts(double share) const noexcept
 {
-    return static_cast<std::uint32_t>(std::max(1.0, std::floor(m_limit * share + Rounding)));
+    return static_cast<std::uint32_t>(
+        std::max(1.0, std::floor(m_limit * share + RoundingTolerance)));
 }
 
 Duration ConcurrencyLimit::serviceTime() const noexcept
--- a/src/core/targets/impl/configure.cpp
+++ b/src/core/targets/impl/configure.cpp
@@ -25,32 +25,32 @@
     auto before = std::exchange(records, {});
     auto groupsBefore = std::exchange(groups, {});
     for (const auto &[serviceId, service] : config->services) {
-        Group &holder = groups[serviceId];
+        Group &serviceGroup = groups[serviceId];
         if (const auto kept = groupsBefore.find(serviceId); kept != groupsBefore.end())
-            holder.keepLearnt(kept->second);
+            serviceGroup.retainStatistics(kept->second);
         for (const auto &[id, target] : service.targets) {
             const auto kept = before.find(id);
             auto old = kept == before.end() ? nullptr : std::move(kept->second);
-            records[id] = keepOrMake(std::move(old), target, serviceId, addedAt);
-            addToGroup(holder, *records[id]);
+            records[id] = reuseOrCreate(std::move(old), target, serviceId, addedAt);
+            addToGroup(serviceGroup, *records[id]);
         }
-        refreshDoubt(holder, now);
+        updatePanicMode(serviceGroup, now);
     }
-    listOwn();
+    rebuildOwnLists();
 }
 
-void TargetTable::Impl::listOwn()
+void TargetTable::Impl::rebuildOwnLists()
 {
     ownRecords.clear();
     ownGroups.clear();
-    for (auto &[service, holder] : groups) {
+    for (auto &[service, serviceGroup] : groups) {
         const std::size_t before = ownRecords.size();
-        for (Record *record : holder.local) {
+        for (Record *record : serviceGroup.local) {
             if (record->own)
                 ownRecords.push_back(record);
         }
         if (ownRecords.size() > before)
-            ownGroups.push_back(&holder);
+            ownGroups.push_back(&serviceGroup);
     }
 }
 
@@ -77,8 +77,8 @@
 }
 
 std::unique_ptr<impl::TargetRecord>
-TargetTable::Impl::keepOrMake(std::unique_ptr<Record> old, const TargetConfig &target,
-                              ServiceId service, std::optional<TimePoint> addedAt) const
+TargetTable::Impl::reuseOrCreate(std::unique_ptr<Record> old, const TargetConfig &target,
+                                 ServiceId service, std::optional<TimePoint> addedAt) const
 {
     // Under an old name a new generation is another machine: nothing learnt of the old one holds.
     if (!old || !sameMachine(old->config, target)) {
@@ -95,7 +95,7 @@
     const bool own = old->local && old->owner && old->owner->id == view->self;
     if (own != old->own) {
         // Evidence of an earlier time as owner is out of date, and the link has to be made anew.
-        old->evidence = impl::Evidence{};
+        old->healthTracker = impl::HealthTracker{};
         old->waiting = 0;
         old->offers = 0;
         old->foreign = 0;
@@ -105,10 +105,10 @@
     return old;
 }
 
-void TargetTable::Impl::addToGroup(Group &holder, Record &record)
+void TargetTable::Impl::addToGroup(Group &serviceGroup, Record &record)
 {
     record.contact = record.owner && !record.own ? &contacts[record.owner->id] : nullptr;
-    std::vector<Record *> &list = record.local ? holder.local : holder.remote;
+    std::vector<Record *> &list = record.local ? serviceGroup.local : serviceGroup.remote;
     list.push_back(&record);
 }
 
--- a/src/core/targets/impl/connection_count.cpp
+++ b/src/core/targets/impl/connection_count.cpp
@@ -10,9 +10,9 @@
 
 constexpr double RecentSeconds = 60;
 constexpr double CorrectionSeconds = 2;
-constexpr double FewFlows = 50;
-constexpr double LeastOfRecent = 0.02;
-constexpr double MostOfUsual = 3;
+constexpr double MinFlowsToCompare = 50;
+constexpr double MinShareOfRecent = 0.02;
+constexpr double MaxOverAverage = 3;
 
 [[nodiscard]] double seconds(Duration duration) noexcept
 {
@@ -34,17 +34,17 @@
     m_count += 1;
 }
 
-void ConnectionCount::reported(std::uint32_t connections, double usual, TimePoint now) noexcept
+void ConnectionCount::reported(std::uint32_t connections, double average, TimePoint now) noexcept
 {
     decayRecent(now);
     // A target that always reports none would draw every open that names it as a candidate, one
     // that always reports many would get none for ever. Out of these bounds a report says nothing,
     // and the target is taken for a usual one: it gets its even share.
-    const bool tooFew = m_recent >= FewFlows && connections < LeastOfRecent * m_recent;
-    const bool tooMany = usual >= FewFlows && connections > MostOfUsual * usual;
-    m_believed = !tooFew && !tooMany;
-    const double goal = m_believed ? connections : usual;
-    if (!m_reportAt || !m_believed)
+    const bool tooFew = m_recent >= MinFlowsToCompare && connections < MinShareOfRecent * m_recent;
+    const bool tooMany = average >= MinFlowsToCompare && connections > MaxOverAverage * average;
+    m_plausible = !tooFew && !tooMany;
+    const double goal = m_plausible ? connections : average;
+    if (!m_reportAt || !m_plausible)
         m_count = goal;
     else
         m_count += std::min(1.0, seconds(now - *m_reportAt) / CorrectionSeconds) * (goal - m_count);
--- a/src/core/targets/impl/connection_count.h
+++ b/src/core/targets/impl/connection_count.h
@@ -16,11 +16,11 @@
 {
 public:
     void accepted(TimePoint now) noexcept;
-    /// \param usual Flows of a usual target, which a target that isn't believed is taken to hold.
-    void reported(std::uint32_t connections, double usual, TimePoint now) noexcept;
+    /// \param average Flows of a usual target, which a target that isn't believed is taken to hold.
+    void reported(std::uint32_t connections, double average, TimePoint now) noexcept;
 
     [[nodiscard]] double value() const noexcept { return m_count; }
-    [[nodiscard]] bool believed() const noexcept { return m_believed; }
+    [[nodiscard]] bool plausible() const noexcept { return m_plausible; }
 
 private:
     void decayRecent(TimePoint now) noexcept;
@@ -29,7 +29,7 @@
     double m_recent = 0; ///< Flows placed lately, fading over a minute.
     TimePoint m_recentAt{};
     std::optional<TimePoint> m_reportAt;
-    bool m_believed = true;
+    bool m_plausible = true;
 };
 
 } // namespace baobabtrail::impl
--- a/src/core/targets/impl/evidence.cpp
+++ b/src/core/targets/impl/health_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/targets/impl/evidence.h"
+#include "core/targets/impl/health_tracker.h"
 
 #include <algorithm>
 
@@ -8,25 +8,25 @@
 
 constexpr std::uint32_t UnansweredToEject = 5;
 constexpr std::uint32_t LinkLossesToEject = 3;
-constexpr double ShareToEject = 0.5;
-constexpr double SamplesToJudge = 10;
-constexpr double ShareGain = 0.1;
+constexpr double FailureShareToEject = 0.5;
+constexpr double MinSamples = 10;
+constexpr double FailureShareGain = 0.1;
 constexpr std::uint32_t SuccessesToReadmit = 3;
-constexpr std::uint32_t MostDoublings = 5;
-constexpr Duration FirstBackOff = 1s;
+constexpr std::uint32_t MaxDoublings = 5;
+constexpr Duration InitialBackOff = 1s;
 constexpr Duration ProbeSpacing = 100ms;
 constexpr Duration WarmUp = 10s;
-constexpr double FirstShare = 0.25;
-constexpr Duration ForgivenAfter = 60s;
+constexpr double InitialShare = 0.25;
+constexpr Duration EjectionsResetAfter = 60s;
 
 [[nodiscard]] Duration backOff(std::uint32_t ejections) noexcept
 {
-    return FirstBackOff * (1U << std::min(ejections > 0 ? ejections - 1 : 0, MostDoublings));
+    return InitialBackOff * (1U << std::min(ejections > 0 ? ejections - 1 : 0, MaxDoublings));
 }
 
 } // namespace
 
-void Evidence::verified(bool sameService, bool cold, TimePoint now) noexcept
+void HealthTracker::verified(bool sameService, bool cold, TimePoint now) noexcept
 {
     m_linkUp = true;
     m_mismatch = !sameService;
@@ -39,7 +39,7 @@
     m_helloSinceEjection = true;
 }
 
-void Evidence::linkLost(TimePoint now) noexcept
+void HealthTracker::linkLost(TimePoint now) noexcept
 {
     m_linkUp = false;
     ++m_linkLosses;
@@ -48,21 +48,21 @@
         eject(now);
 }
 
-void Evidence::succeeded(TimePoint now) noexcept
+void HealthTracker::succeeded(TimePoint now) noexcept
 {
     m_linkLosses = 0;
     m_unanswered = 0;
     countSuccess(now);
 }
 
-void Evidence::answered(TimePoint now) noexcept
+void HealthTracker::answered(TimePoint now) noexcept
 {
     m_unanswered = 0;
     if (ejected())
         countSuccess(now);
 }
 
-void Evidence::unanswered(TimePoint now) noexcept
+void HealthTracker::unanswered(TimePoint now) noexcept
 {
     ++m_unanswered;
     countFailure(now);
@@ -70,13 +70,13 @@
         eject(now);
 }
 
-void Evidence::openAnswered(TimePoint now) noexcept
+void HealthTracker::openAnswered(TimePoint now) noexcept
 {
     m_unansweredOpens = 0;
     countSuccess(now);
 }
 
-void Evidence::openUnanswered(TimePoint now) noexcept
+void HealthTracker::openUnanswered(TimePoint now) noexcept
 {
     ++m_unansweredOpens;
     countFailure(now);
@@ -84,32 +84,32 @@
         eject(now);
 }
 
-void Evidence::heard(TimePoint) noexcept
+void HealthTracker::heard(TimePoint) noexcept
 {
     // Flows that go on say that the machine lives, not that it takes new work: this clears no
     // count of attempts and readmits nothing.
     m_unansweredOpens = std::min(m_unansweredOpens, UnansweredToEject - 2);
 }
 
-void Evidence::countFailure(TimePoint now) noexcept
+void HealthTracker::countFailure(TimePoint now) noexcept
 {
     m_samples += 1;
-    m_failureShare += ShareGain * (1.0 - m_failureShare);
+    m_failureShare += FailureShareGain * (1.0 - m_failureShare);
     if (ejected()) {
         m_ejectedAt.reset();
         eject(now);
         return;
     }
-    if (m_samples >= SamplesToJudge && m_failureShare >= ShareToEject)
+    if (m_samples >= MinSamples && m_failureShare >= FailureShareToEject)
         eject(now);
 }
 
-void Evidence::countSuccess(TimePoint now) noexcept
+void HealthTracker::countSuccess(TimePoint now) noexcept
 {
     m_samples += 1;
-    m_failureShare -= ShareGain * m_failureShare;
+    m_failureShare -= FailureShareGain * m_failureShare;
     if (!ejected()) {
-        if (m_goodSince && now - *m_goodSince >= ForgivenAfter)
+        if (m_goodSince && now - *m_goodSince >= EjectionsResetAfter)
             m_ejections = 0;
         return;
     }
@@ -117,7 +117,7 @@
         readmit(now);
 }
 
-void Evidence::eject(TimePoint now) noexcept
+void HealthTracker::eject(TimePoint now) noexcept
 {
     if (ejected())
         return;
@@ -129,7 +129,7 @@
     m_goodSince.reset();
 }
 
-void Evidence::readmit(TimePoint now) noexcept
+void HealthTracker::readmit(TimePoint now) noexcept
 {
     m_ejectedAt.reset();
     m_failureShare = 0;
@@ -140,7 +140,7 @@
     m_goodSince = now;
 }
 
-TargetHealth Evidence::health(TimePoint now) const noexcept
+TargetHealth HealthTracker::health(TimePoint now) const noexcept
 {
     if (m_mismatch)
         return TargetHealth::Mismatch;
@@ -153,13 +153,13 @@
     return TargetHealth::Good;
 }
 
-bool Evidence::mayProbe(TimePoint now) const noexcept
+bool HealthTracker::mayProbe(TimePoint now) const noexcept
 {
     const std::optional<TimePoint> at = probeAt();
     return at && now >= *at && m_helloSinceEjection;
 }
 
-std::optional<TimePoint> Evidence::probeAt() const noexcept
+std::optional<TimePoint> HealthTracker::probeAt() const noexcept
 {
     if (!ejected())
         return std::nullopt;
@@ -169,13 +169,13 @@
     return std::max(rested, m_lastProbe + ProbeSpacing);
 }
 
-double Evidence::share(TimePoint now) const noexcept
+double HealthTracker::share(TimePoint now) const noexcept
 {
     if (!m_warmSince)
         return 1.0;
     const auto grown
         = static_cast<double>((now - *m_warmSince).count()) / static_cast<double>(WarmUp.count());
-    return std::clamp(FirstShare + (1.0 - FirstShare) * grown, FirstShare, 1.0);
+    return std::clamp(InitialShare + (1.0 - InitialShare) * grown, InitialShare, 1.0);
 }
 
 } // namespace baobabtrail::impl
--- a/src/core/targets/impl/evidence.h
+++ b/src/core/targets/impl/health_tracker.h
@@ -11,7 +11,7 @@
 /// \brief What an owner has seen of one target, and the verdict that follows.
 ///
 /// Only answers and their absence count; a report of good health, or of bad, moves nothing.
-class Evidence
+class HealthTracker
 {
 public:
     /// \param cold Whether the target is new and has to ramp up.
--- a/src/core/targets/impl/heard_load.h
+++ b/src/core/targets/impl/hinted_load.h
@@ -11,26 +11,26 @@
 inline constexpr float UnavailableLoad = 1e6F;
 
 /// \brief The load of a target that another daemon owns, from what was last heard of it.
-class HeardLoad
+class HintedLoad
 {
 public:
     void applyHint(const LoadHint &hint, TimePoint now) noexcept;
     void sentRequest(double share) noexcept { m_requestsSent += share; }
     void sentFlow(double share) noexcept { m_flowsSent += share; }
 
-    /// \brief What the load is by now: what was heard fades into \a usual.
+    /// \brief What the load is by now: what was heard fades into \a average.
     ///
     /// A stale low load would draw every daemon's asks at once, a stale high one would keep them
     /// away for ever; after a few service times neither says more than the mean of all.
-    [[nodiscard]] double requests(double usual, Duration fade, TimePoint now) const noexcept;
-    [[nodiscard]] double flows(double usual, TimePoint now) const noexcept;
+    [[nodiscard]] double requests(double average, Duration decayTime, TimePoint now) const noexcept;
+    [[nodiscard]] double flows(double average, TimePoint now) const noexcept;
     /// \return Whether its owner said lately that it may get no work.
     [[nodiscard]] bool unavailable(TimePoint now) const noexcept;
-    [[nodiscard]] bool heard() const noexcept { return m_heardAt != TimePoint::min(); }
+    [[nodiscard]] bool known() const noexcept { return m_hintedAt != TimePoint::min(); }
 
 private:
     LoadHint m_last;
-    TimePoint m_heardAt = TimePoint::min();
+    TimePoint m_hintedAt = TimePoint::min();
     double m_requestsSent = 0; ///< Asks sent since, over the target's limit.
     double m_flowsSent = 0;
 };
--- a/src/core/targets/impl/placement.cpp
+++ b/src/core/targets/impl/placement.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-constexpr double UsualGain = 0.05;
+constexpr double AverageGain = 0.05;
 constexpr double SpillAbove = 1.0;
 constexpr double SpillUntil = 0.75;
 constexpr double RemotePenalty = 0.1;
 /// What is known of another domain's daemons may be late, and then a spilled ask needs a forward
 /// there to reach an owner; one that was declined often has none left.
-constexpr std::size_t MostDeclinedToSpill = 1;
+constexpr std::size_t MaxDeclinedToSpill = 1;
 /// A forward costs a fraction of a millisecond, a wait half a service time: worth a try also where
 /// the other target is thought to be somewhat more loaded, as loads last heard are rarely exact.
-constexpr double WorthForward = 2.0;
+constexpr double MinGainToForward = 2.0;
 /// Of more candidates the seemingly best would be the same for all daemons more often: a herd.
 constexpr std::size_t Candidates = 3;
-constexpr double NoLoad = std::numeric_limits<double>::infinity();
+constexpr double InfiniteLoad = std::numeric_limits<double>::infinity();
 /// The second candidate of a flow must be clearly less loaded, so that an open that is sent twice
 /// through daemons with slightly different knowledge finds the same target.
 constexpr double ClearlyLess = 0.98;
@@ -34,7 +34,7 @@
     return std::ranges::any_of(hints, [&](const LoadHint &hint) { return hint.target == target; });
 }
 
-[[nodiscard]] std::size_t below(std::size_t count, Random &random)
+[[nodiscard]] std::size_t randomBelow(std::size_t count, Random &random)
 {
     boost::random::uniform_int_distribution<std::size_t> index{0, count - 1};
     return index(random);
@@ -66,84 +66,86 @@
 {
     if (record.own)
         return true;
-    return !record.heard.unavailable(now) && !(record.contact && record.contact->silent(now));
+    return !record.hinted.unavailable(now) && !(record.contact && record.contact->silent(now));
 }
 
-void TargetTable::Impl::collect(const Group &holder, const std::vector<LoadHint> &declined,
+void TargetTable::Impl::collect(const Group &serviceGroup, const std::vector<LoadHint> &declined,
                                 TimePoint now)
 {
     m_candidates.clear();
-    for (Record *record : holder.local) {
+    for (Record *record : serviceGroup.local) {
         if (placeable(*record, declined) && reachable(*record, now))
             m_candidates.push_back(record);
     }
     if (!m_candidates.empty() || !declined.empty())
         return;
     // When nobody seems to answer, this daemon's own hearing is the likelier fault.
-    for (Record *record : holder.local) {
+    for (Record *record : serviceGroup.local) {
         if (placeable(*record, declined))
             m_candidates.push_back(record);
     }
 }
 
-bool TargetTable::Impl::waitsHere(const std::vector<LoadHint> &declined) const noexcept
+bool TargetTable::Impl::waitsAtOwnTarget(const std::vector<LoadHint> &declined) const noexcept
 {
     return !declined.empty() && findOwn(declined.back().target) != nullptr;
 }
 
-double TargetTable::Impl::requestLoad(const Group &holder, const Record &record,
+double TargetTable::Impl::requestLoad(const Group &serviceGroup, const Record &record,
                                       TimePoint now) const noexcept
 {
     if (record.own)
         return loadOf(record, now).requests;
-    const double usual = record.local ? holder.usualRequests : holder.usualRemote;
-    return record.heard.requests(usual, holder.fade, now);
+    const double average
+        = record.local ? serviceGroup.averageRequests : serviceGroup.averageRemoteRequests;
+    return record.hinted.requests(average, serviceGroup.decayTime, now);
 }
 
-double TargetTable::Impl::flowLoad(const Group &holder, const Record &record,
+double TargetTable::Impl::flowLoad(const Group &serviceGroup, const Record &record,
                                    TimePoint now) const noexcept
 {
     if (record.own)
         return loadOf(record, now).flows;
-    return record.heard.flows(holder.usualFlows, now);
+    return record.hinted.flows(serviceGroup.averageFlows, now);
 }
 
-TargetTable::Impl::Scored TargetTable::Impl::leastOfFew(const Group &holder,
-                                                        const std::vector<Record *> &among,
-                                                        TimePoint now, Random &random) const
+TargetTable::Impl::Scored TargetTable::Impl::leastLoadedOfSample(const Group &serviceGroup,
+                                                                 const std::vector<Record *> &among,
+                                                                 TimePoint now,
+                                                                 Random &random) const
 {
     if (among.empty())
-        return {nullptr, NoLoad};
+        return {nullptr, InfiniteLoad};
     const std::size_t count = among.size();
-    const std::size_t step = count > 1 ? 1 + below(count - 1, random) : 0;
-    std::size_t at = below(count, random);
-    Scored best{nullptr, NoLoad};
+    const std::size_t step = count > 1 ? 1 + randomBelow(count - 1, random) : 0;
+    std::size_t at = randomBelow(count, random);
+    Scored best{nullptr, InfiniteLoad};
     for (std::size_t i = 0; i < Candidates; ++i, at = (at + step) % count) {
-        const double load = requestLoad(holder, *among[at], now);
+        const double load = requestLoad(serviceGroup, *among[at], now);
         if (load < best.load)
             best = {among[at], load};
     }
     return best;
 }
 
-void TargetTable::Impl::updateSpilling(Group &holder, double least) const noexcept
+void TargetTable::Impl::updateSpilling(Group &serviceGroup, double least) const noexcept
 {
     if (least >= SpillAbove)
-        holder.spilling = true;
+        serviceGroup.spilling = true;
     else if (least < SpillUntil)
-        holder.spilling = false;
+        serviceGroup.spilling = false;
 }
 
-TargetTable::Impl::Scored TargetTable::Impl::spill(Group &holder,
-                                                   const std::vector<LoadHint> &declined,
-                                                   TimePoint now, Random &random)
+TargetTable::Impl::Scored
+TargetTable::Impl::leastLoadedRemote(Group &serviceGroup, const std::vector<LoadHint> &declined,
+                                     TimePoint now, Random &random)
 {
-    m_others.clear();
-    for (Record *record : holder.remote) {
+    m_remoteCandidates.clear();
+    for (Record *record : serviceGroup.remote) {
         if (placeable(*record, declined) && reachable(*record, now))
-            m_others.push_back(record);
+            m_remoteCandidates.push_back(record);
     }
-    return leastOfFew(holder, m_others, now, random);
+    return leastLoadedOfSample(serviceGroup, m_remoteCandidates, now, random);
 }
 
 PlacementChoice TargetTable::Impl::chosen(const Record &record)
@@ -151,22 +153,22 @@
     return {record.config.id, record.own, record.owner->address};
 }
 
-TargetTable::Impl::Scored TargetTable::Impl::leastHere(Group &holder,
-                                                       const std::vector<LoadHint> &declined,
-                                                       TimePoint now, Random &random)
+TargetTable::Impl::Scored TargetTable::Impl::leastLoadedLocal(Group &serviceGroup,
+                                                              const std::vector<LoadHint> &declined,
+                                                              TimePoint now, Random &random)
 {
-    collect(holder, declined, now);
+    collect(serviceGroup, declined, now);
     Scored own{nullptr, impl::UnavailableLoad};
-    double least = NoLoad;
+    double least = InfiniteLoad;
     std::erase_if(m_candidates, [&](Record *record) {
-        const double load = requestLoad(holder, *record, now);
+        const double load = requestLoad(serviceGroup, *record, now);
         least = std::min(least, load);
         if (record->own && load < own.load)
             own = {record, load};
         return load >= impl::UnavailableLoad;
     });
-    updateSpilling(holder, least);
-    const Scored best = leastOfFew(holder, m_candidates, now, random);
+    updateSpilling(serviceGroup, least);
+    const Scored best = leastLoadedOfSample(serviceGroup, m_candidates, now, random);
     // What is known for certain, and needs no hop, goes before what was heard.
     return own.record && own.load < best.load ? own : best;
 }
@@ -175,28 +177,28 @@
 TargetTable::Impl::chooseForRequest(ServiceId service, const std::vector<LoadHint> &declined,
                                     TimePoint now, Random &random)
 {
-    Group *holder = group(service);
-    if (!holder)
+    Group *serviceGroup = group(service);
+    if (!serviceGroup)
         return std::nullopt;
-    Scored best = leastHere(*holder, declined, now, random);
-    if (holder->spilling && declined.size() <= MostDeclinedToSpill) {
-        const Scored remote = spill(*holder, declined, now, random);
+    Scored best = leastLoadedLocal(*serviceGroup, declined, now, random);
+    if (serviceGroup->spilling && declined.size() <= MaxDeclinedToSpill) {
+        const Scored remote = leastLoadedRemote(*serviceGroup, declined, now, random);
         if (remote.record && remote.load + RemotePenalty < best.load)
             best = remote;
     }
     if (!best.record)
         return std::nullopt;
     // The ask waits where it is when all else is known to be worse; a forward would only add a hop.
-    if (waitsHere(declined) && best.load >= declined.back().requests + WorthForward)
+    if (waitsAtOwnTarget(declined) && best.load >= declined.back().requests + MinGainToForward)
         return std::nullopt;
     if (!best.record->own)
-        best.record->heard.sentRequest(1.0 / std::max(best.record->config.slots, 1U));
+        best.record->hinted.sentRequest(1.0 / std::max(best.record->config.slots, 1U));
     if (best.record->contact)
         best.record->contact->asked(now);
     return chosen(*best.record);
 }
 
-impl::TargetRecord *TargetTable::Impl::lessLoadedOfPair(const Group &holder, FlowId flow,
+impl::TargetRecord *TargetTable::Impl::lessLoadedOfPair(const Group &serviceGroup, FlowId flow,
                                                         std::uint32_t attempt, TimePoint now)
 {
     const std::size_t pairs = (m_candidates.size() + 1) / 2;
@@ -212,7 +214,8 @@
     if (ranked == first + 1)
         return one;
     Record *other = m_ranked[first + 1].record;
-    const bool clear = flowLoad(holder, *other, now) < ClearlyLess * flowLoad(holder, *one, now);
+    const bool clear
+        = flowLoad(serviceGroup, *other, now) < ClearlyLess * flowLoad(serviceGroup, *one, now);
     return clear ? other : one;
 }
 
@@ -221,18 +224,19 @@
                                  const std::vector<LoadHint> &declined, TimePoint now,
                                  Random &random)
 {
-    Group *holder = group(service);
-    if (!holder)
+    Group *serviceGroup = group(service);
+    if (!serviceGroup)
         return std::nullopt;
-    collect(*holder, declined, now);
+    collect(*serviceGroup, declined, now);
     std::erase_if(m_candidates,
                   [&](Record *record) { return record->own && !takesFlow(*record, now); });
-    Record *best = m_candidates.empty() ? spill(*holder, declined, now, random).record
-                                        : lessLoadedOfPair(*holder, flow, attempt, now);
+    Record *best = m_candidates.empty()
+                       ? leastLoadedRemote(*serviceGroup, declined, now, random).record
+                       : lessLoadedOfPair(*serviceGroup, flow, attempt, now);
     if (!best)
         return std::nullopt;
     if (!best->own)
-        best->heard.sentFlow(1.0 / std::max(best->config.weight, 1U));
+        best->hinted.sentFlow(1.0 / std::max(best->config.weight, 1U));
     if (best->contact)
         best->contact->asked(now);
     return chosen(*best);
@@ -243,25 +247,27 @@
     Record *record = find(hint.target);
     if (!record || record->own)
         return;
-    const bool before = record->heard.unavailable(now);
-    record->heard.applyHint(hint, now);
-    Group *holder = group(record->service);
-    if (!holder)
+    const bool before = record->hinted.unavailable(now);
+    record->hinted.applyHint(hint, now);
+    Group *serviceGroup = group(record->service);
+    if (!serviceGroup)
         return;
     if (record->contact)
         record->contact->answered();
-    if (record->heard.unavailable(now) != before)
-        refreshDoubt(*holder, now);
+    if (record->hinted.unavailable(now) != before)
+        updatePanicMode(*serviceGroup, now);
     if (hint.requests < impl::UnavailableLoad) {
-        double &usual = record->local ? holder->usualRequests : holder->usualRemote;
-        usual += UsualGain * (hint.requests - usual);
+        double &average
+            = record->local ? serviceGroup->averageRequests : serviceGroup->averageRemoteRequests;
+        average += AverageGain * (hint.requests - average);
     }
     if (hint.flows < impl::UnavailableLoad && record->local) {
         // One false report of very many flows must not move what counts as usual.
-        double &usual = holder->usualFlows;
-        const double gain = usual == 0 ? 1.0 : UsualGain;
-        const double heard = usual == 0 ? hint.flows : std::min<double>(hint.flows, 2 * usual + 1);
-        usual += gain * (heard - usual);
+        double &average = serviceGroup->averageFlows;
+        const double gain = average == 0 ? 1.0 : AverageGain;
+        const double heard
+            = average == 0 ? hint.flows : std::min<double>(hint.flows, 2 * average + 1);
+        average += gain * (heard - average);
     }
 }
 
--- a/src/core/targets/impl/table.h
+++ b/src/core/targets/impl/table.h
@@ -2,9 +2,9 @@
 
 #include "core/targets/impl/concurrency_limit.h"
 #include "core/targets/impl/connection_count.h"
-#include "core/targets/impl/evidence.h"
-#include "core/targets/impl/heard_load.h"
-#include "core/targets/impl/reopen_budget.h"
+#include "core/targets/impl/health_tracker.h"
+#include "core/targets/impl/hinted_load.h"
+#include "core/targets/impl/token_bucket.h"
 #include "core/targets/target_table.h"
 
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -31,10 +31,10 @@
     bool local = false;               ///< In this daemon's failure domain.
     std::optional<TimePoint> addedAt; ///< Set where it came with a later configuration.
 
-    Evidence evidence;
+    HealthTracker healthTracker;
     ConcurrencyLimit limit;
     ConnectionCount connections;
-    HeardLoad heard;
+    HintedLoad hinted;
     OwnerContact *contact = nullptr; ///< With the owner, where that is another daemon of ours.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -42,10 +42,10 @@
     double foreign = 0;       ///< Requests that the target reports beyond ours, smoothed.
     LoadReport report;
     TimePoint reportAt = TimePoint::min();
-    TimePoint aheadAgain = TimePoint::min(); ///< No attempt is sent ahead of a slot before.
-    TimePoint aliveAt = TimePoint::min();    ///< Last sign of life, on any daemon.
+    TimePoint noAheadUntil = TimePoint::min(); ///< No attempt is sent ahead of a slot before.
+    TimePoint aliveAt = TimePoint::min();      ///< Last sign of life, on any daemon.
     TokenBucket reopens{ReopensPerSecond, ReopenBurst};
-    TargetHealth toldHealth = TargetHealth::Good; ///< In the log.
+    TargetHealth loggedHealth = TargetHealth::Good; ///< In the log.
 };
 
 /// \brief Targets of one service, by where they are.
@@ -53,20 +53,20 @@
 {
     std::vector<TargetRecord *> local;
     std::vector<TargetRecord *> remote; ///< In other domains.
-    double usualRequests = 0.8;
-    double usualFlows = 0;
-    double usualRemote = 0.8;
-    Duration fade = 20ms; ///< Mean service time seen here.
-    bool doubt = false;   ///< Most targets look dead: the observer is doubted, they are served.
+    double averageRequests = 0.8;
+    double averageFlows = 0;
+    double averageRemoteRequests = 0.8;
+    Duration decayTime = 20ms; ///< Mean service time seen here.
+    bool panicMode = false; ///< Most targets look dead: the observer is doubted, they are served.
     bool spilling = false;
 
     /// \brief Takes over what an earlier configuration's group has learnt.
-    void keepLearnt(const ServiceGroup &before)
+    void retainStatistics(const ServiceGroup &before)
     {
-        usualRequests = before.usualRequests;
-        usualFlows = before.usualFlows;
-        usualRemote = before.usualRemote;
-        fade = before.fade;
+        averageRequests = before.averageRequests;
+        averageFlows = before.averageFlows;
+        averageRemoteRequests = before.averageRemoteRequests;
+        decayTime = before.decayTime;
         spilling = before.spilling;
     }
 };
@@ -94,10 +94,11 @@
     [[nodiscard]] bool takesFlow(const Record &record, TimePoint now) const noexcept;
     [[nodiscard]] std::uint32_t attemptsAllowed(const Record &record, TimePoint now) const noexcept;
     [[nodiscard]] LoadHint loadOf(const Record &record, TimePoint now) const noexcept;
-    void takeReport(Record &record, const LoadReport &report, TimePoint now);
-    [[nodiscard]] bool mayRunAhead(const Record &record, TimePoint now) const noexcept;
-    void learn(Record &record, AttemptEnd end, Duration ran, std::uint32_t running, TimePoint now);
-    void judge(Record &record, TimePoint now);
+    void applyReport(Record &record, const LoadReport &report, TimePoint now);
+    [[nodiscard]] bool maySendAhead(const Record &record, TimePoint now) const noexcept;
+    void recordOutcome(Record &record, AttemptEnd end, Duration runTime, std::uint32_t running,
+                       TimePoint now);
+    void updatePanicMode(Record &record, TimePoint now);
     [[nodiscard]] std::optional<TimePoint> due(const Record &record) const noexcept;
 
     // Choice.
@@ -133,34 +134,38 @@
 
     void readRemoteViews();
     [[nodiscard]] const Member *ownerOf(const TargetConfig &target) const noexcept;
-    [[nodiscard]] std::unique_ptr<Record> keepOrMake(std::unique_ptr<Record> old,
-                                                     const TargetConfig &target, ServiceId service,
-                                                     std::optional<TimePoint> addedAt) const;
-    void addToGroup(Group &holder, Record &record);
-    void listOwn();
+    [[nodiscard]] std::unique_ptr<Record> reuseOrCreate(std::unique_ptr<Record> old,
+                                                        const TargetConfig &target,
+                                                        ServiceId service,
+                                                        std::optional<TimePoint> addedAt) const;
+    void addToGroup(Group &serviceGroup, Record &record);
+    void rebuildOwnLists();
     [[nodiscard]] bool reachable(const Record &record, TimePoint now) const noexcept;
-    void collect(const Group &holder, const std::vector<LoadHint> &declined, TimePoint now);
+    void collect(const Group &serviceGroup, const std::vector<LoadHint> &declined, TimePoint now);
     [[nodiscard]] static bool placeable(const Record &record,
                                         const std::vector<LoadHint> &declined) noexcept;
-    [[nodiscard]] bool waitsHere(const std::vector<LoadHint> &declined) const noexcept;
-    [[nodiscard]] double requestLoad(const Group &holder, const Record &record,
+    [[nodiscard]] bool waitsAtOwnTarget(const std::vector<LoadHint> &declined) const noexcept;
+    [[nodiscard]] double requestLoad(const Group &serviceGroup, const Record &record,
                                      TimePoint now) const noexcept;
-    [[nodiscard]] double flowLoad(const Group &holder, const Record &record,
+    [[nodiscard]] double flowLoad(const Group &serviceGroup, const Record &record,
                                   TimePoint now) const noexcept;
-    [[nodiscard]] Scored leastHere(Group &holder, const std::vector<LoadHint> &declined,
-                                   TimePoint now, Random &random);
-    [[nodiscard]] Record *lessLoadedOfPair(const Group &holder, FlowId flow, std::uint32_t attempt,
-                                           TimePoint now);
-    [[nodiscard]] Scored leastOfFew(const Group &holder, const std::vector<Record *> &among,
-                                    TimePoint now, Random &random) const;
-    [[nodiscard]] Scored spill(Group &holder, const std::vector<LoadHint> &declined, TimePoint now,
-                               Random &random);
+    [[nodiscard]] Scored leastLoadedLocal(Group &serviceGroup,
+                                          const std::vector<LoadHint> &declined, TimePoint now,
+                                          Random &random);
+    [[nodiscard]] Record *lessLoadedOfPair(const Group &serviceGroup, FlowId flow,
+                                           std::uint32_t attempt, TimePoint now);
+    [[nodiscard]] Scored leastLoadedOfSample(const Group &serviceGroup,
+                                             const std::vector<Record *> &among, TimePoint now,
+                                             Random &random) const;
+    [[nodiscard]] Scored leastLoadedRemote(Group &serviceGroup,
+                                           const std::vector<LoadHint> &declined, TimePoint now,
+                                           Random &random);
     [[nodiscard]] static PlacementChoice chosen(const Record &record);
-    void updateSpilling(Group &holder, double least) const noexcept;
-    void refreshDoubt(Group &holder, TimePoint now) const noexcept;
+    void updateSpilling(Group &serviceGroup, double least) const noexcept;
+    void updatePanicMode(Group &serviceGroup, TimePoint now) const noexcept;
 
     std::vector<Record *> m_candidates; ///< Kept between calls to save allocations.
-    std::vector<Record *> m_others;
+    std::vector<Record *> m_remoteCandidates;
     std::vector<Scored> m_ranked;
     TimePoint m_advancedAt{};
     impl::TokenBucket m_reopens{impl::DaemonReopensPerSecond, impl::DaemonReopenBurst};
--- a/src/core/targets/target_table.cpp
+++ b/src/core/targets/target_table.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Duration FirstLinkRetry = 100ms;
-constexpr Duration LongestLinkRetry = 5s;
-constexpr std::uint32_t MostDoublings = 6;
+constexpr Duration MaxLinkRetry = 5s;
+constexpr std::uint32_t MaxDoublings = 6;
 /// How long a target that was just declared counts as cold, should its owner meet it then.
 constexpr Duration ColdFor = 60s;
 
@@ -98,7 +98,7 @@
     TargetStatus status;
     status.target = target;
     status.service = record->service;
-    status.health = record->evidence.health(now);
+    status.health = record->healthTracker.health(now);
     status.concurrencyLimit = record->limit.value();
     status.running = record->running;
     status.waiting = record->waiting;
@@ -115,10 +115,10 @@
     if (!record)
         return;
     const bool cold = record->addedAt && now - *record->addedAt < ColdFor;
-    record->evidence.verified(says == record->service, cold, now);
+    record->healthTracker.verified(says == record->service, cold, now);
     record->aliveAt = now;
-    m_impl->takeReport(*record, load, now);
-    m_impl->judge(*record, now);
+    m_impl->applyReport(*record, load, now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 void TargetTable::linkLost(TargetId target, TimePoint now)
@@ -126,18 +126,18 @@
     impl::TargetRecord *record = m_impl->findOwn(target);
     if (!record)
         return;
-    record->evidence.linkLost(now);
-    m_impl->judge(*record, now);
+    record->healthTracker.linkLost(now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 Duration TargetTable::linkRetryDelay(TargetId target, Random &random) const
 {
     const impl::TargetRecord *record = m_impl->findOwn(target);
-    const std::uint32_t losses = record ? record->evidence.linkLosses() : 0;
-    const Duration grown = FirstLinkRetry * (1U << std::min(losses, MostDoublings));
+    const std::uint32_t losses = record ? record->healthTracker.linkLosses() : 0;
+    const Duration grown = FirstLinkRetry * (1U << std::min(losses, MaxDoublings));
     // Without jitter every daemon would dial a target that comes back at the same instant.
     boost::random::uniform_real_distribution<double> jitter{0.5, 1.0};
-    const auto bounded = static_cast<double>(std::min(grown, LongestLinkRetry).count());
+    const auto bounded = static_cast<double>(std::min(grown, MaxLinkRetry).count());
     return Duration{static_cast<Duration::rep>(bounded * jitter(random))};
 }
 
@@ -153,11 +153,11 @@
     if (!record)
         return;
     ++record->running;
-    if (record->evidence.ejected())
-        record->evidence.probeStarted(now);
+    if (record->healthTracker.ejected())
+        record->healthTracker.probeStarted(now);
 }
 
-void TargetTable::attemptEnded(TargetId target, AttemptEnd end, Duration ran,
+void TargetTable::attemptEnded(TargetId target, AttemptEnd end, Duration runTime,
                                const LoadReport *load, TimePoint now)
 {
     impl::TargetRecord *record = m_impl->find(target);
@@ -165,10 +165,10 @@
         return;
     const std::uint32_t running = record->running;
     record->running -= running > 0 ? 1 : 0;
-    m_impl->learn(*record, end, ran, running, now);
+    m_impl->recordOutcome(*record, end, runTime, running, now);
     if (load)
-        m_impl->takeReport(*record, *load, now);
-    m_impl->judge(*record, now);
+        m_impl->applyReport(*record, *load, now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 void TargetTable::flowOffered(TargetId target, TimePoint now)
@@ -177,8 +177,8 @@
     if (!record)
         return;
     ++record->offers;
-    if (record->evidence.ejected())
-        record->evidence.probeStarted(now);
+    if (record->healthTracker.ejected())
+        record->healthTracker.probeStarted(now);
 }
 
 void TargetTable::flowAccepted(TargetId target, const LoadReport &load, TimePoint now)
@@ -189,9 +189,9 @@
     record->offers -= record->offers > 0 ? 1 : 0;
     record->aliveAt = now;
     record->connections.accepted(now);
-    record->evidence.openAnswered(now);
-    m_impl->takeReport(*record, load, now);
-    m_impl->judge(*record, now);
+    record->healthTracker.openAnswered(now);
+    m_impl->applyReport(*record, load, now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 void TargetTable::flowRefused(TargetId target, const LoadReport *load, TimePoint now)
@@ -201,10 +201,10 @@
         return;
     record->offers -= record->offers > 0 ? 1 : 0;
     record->aliveAt = now;
-    record->evidence.answered(now);
+    record->healthTracker.answered(now);
     if (load)
-        m_impl->takeReport(*record, *load, now);
-    m_impl->judge(*record, now);
+        m_impl->applyReport(*record, *load, now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 void TargetTable::flowUnanswered(TargetId target, TimePoint now)
@@ -213,8 +213,8 @@
     if (!record)
         return;
     record->offers -= record->offers > 0 ? 1 : 0;
-    record->evidence.openUnanswered(now);
-    m_impl->judge(*record, now);
+    record->healthTracker.openUnanswered(now);
+    m_impl->updatePanicMode(*record, now);
 }
 
 void TargetTable::heardFrom(TargetId target, TimePoint now)
@@ -223,7 +223,7 @@
     if (!record)
         return;
     record->aliveAt = now;
-    record->evidence.heard(now);
+    record->healthTracker.heard(now);
 }
 
 std::optional<Duration> TargetTable::reopenDelay(TargetId target, std::uint32_t unanswered,
--- a/src/core/targets/target_table.h
+++ b/src/core/targets/target_table.h
@@ -91,8 +91,8 @@
     /// \brief Requests that wait at this owner for the target (reserved or queued) changed.
     void setWaiting(TargetId target, std::uint32_t waiting) noexcept;
     void attemptStarted(TargetId target, TimePoint now);
-    /// \param ran From the dispatch to the end. \param load The target's report; null for none.
-    void attemptEnded(TargetId target, AttemptEnd end, Duration ran, const LoadReport *load,
+    /// \param runTime From the dispatch to the end. \param load The target's report; null for none.
+    void attemptEnded(TargetId target, AttemptEnd end, Duration runTime, const LoadReport *load,
                       TimePoint now);
     void flowOffered(TargetId target, TimePoint now);
     void flowAccepted(TargetId target, const LoadReport &load, TimePoint now);
--- a/tests/targets/evidence_test.cpp
+++ b/tests/targets/evidence_test.cpp
@@ -7,7 +7,7 @@
 
 // One of three targets stops answering while its links stay up.
 // After five attempts in a row without an answer it gets no work; the others go on.
-Test(evidence, unansweredAttemptsEject)
+Test(healthTracker, unansweredAttemptsEject)
 {
     Fleet fleet{3};
     for (int i = 0; i < 4; ++i)
@@ -22,7 +22,7 @@
 
 // An ejected target's probe has fallen due, but no work comes that could be the probe.
 // The timer that announced it is not set again: it would expire at once, for ever.
-Test(evidence, aProbeThatFellDueSetsNoTimerAgain)
+Test(healthTracker, aProbeThatFellDueSetsNoTimerAgain)
 {
     Fleet fleet{3};
     std::vector<Notice> notices;
@@ -38,7 +38,7 @@
 
 // A target whose every second attempt fails never fails five times in a row.
 // Its share of failures ejects it all the same.
-Test(evidence, aHighShareOfFailuresEjects)
+Test(healthTracker, aHighShareOfFailuresEjects)
 {
     Fleet fleet{3};
     for (int i = 0; i < 40; ++i) {
@@ -51,7 +51,7 @@
 
 // A workspace sends requests whose deadlines are far below the service time; all time out.
 // The target did nothing wrong and must not be ejected for the others.
-Test(evidence, veryShortDeadlinesEjectNobody)
+Test(healthTracker, veryShortDeadlinesEjectNobody)
 {
     Fleet fleet{3};
     for (int i = 0; i < 5; ++i)
@@ -63,7 +63,7 @@
 
 // A dead target's load endpoint and keep-alives still say that all is well, a live one's say that
 // it is full. Neither moves the verdict: only attempts and opens do.
-Test(evidence, reportsNeitherEjectNorReadmit)
+Test(healthTracker, reportsNeitherEjectNorReadmit)
 {
     Fleet fleet{3};
     const LoadReport full{1000, 1000, 100000};
@@ -82,7 +82,7 @@
 
 // An ejected target comes back. It is asked for a hello, then gets one attempt at a time; three
 // answers readmit it with a quarter of its share, which grows. A failed probe doubles the wait.
-Test(evidence, probesBringATargetBackByDegrees)
+Test(healthTracker, probesBringATargetBackByDegrees)
 {
     Fleet fleet{3, 1, 8};
     for (int i = 0; i < 5; ++i)
@@ -117,7 +117,7 @@
 
 // This daemon's own network fails, so that two of its three targets seem to be dead.
 // It goes on serving all of them: refusing would make its fault an outage.
-Test(evidence, whenMostLookDeadTheObserverIsDoubted)
+Test(healthTracker, whenMostLookDeadTheObserverIsDoubted)
 {
     Fleet fleet{3};
     for (std::size_t target = 0; target < 2; ++target) {
@@ -134,7 +134,7 @@
 
 // A target answers its hello with another service's id, as after an address moved on.
 // It gets nothing, not even when most targets look dead.
-Test(evidence, aTargetOfAnotherServiceGetsNothing)
+Test(healthTracker, aTargetOfAnotherServiceGetsNothing)
 {
     Fleet fleet{1};
     fleet.table.linkVerified(Fleet::target(0), serviceId("alexandria", "catalogue"), {}, fleet.now);
@@ -147,7 +147,7 @@
 
 // Under the name of a removed target a new machine is declared.
 // What was learnt of the old one doesn't hold for it: it has to say who it is and to warm up.
-Test(evidence, aNewGenerationStartsAnew)
+Test(healthTracker, aNewGenerationStartsAnew)
 {
     Fleet fleet{3};
     fleet.targetConfig(0).generation = Generation{2};
--- a/tests/targets/fleet.h
+++ b/tests/targets/fleet.h
@@ -75,12 +75,12 @@
         return table.chooseForFlow(id(), FlowId{flow}, attempt, {}, now, random);
     }
 
-    void attempt(std::size_t index, AttemptEnd end, Duration ran = 20ms,
+    void attempt(std::size_t index, AttemptEnd end, Duration runTime = 20ms,
                  const LoadReport *report = nullptr)
     {
         table.attemptStarted(target(index), now);
-        now += ran;
-        table.attemptEnded(target(index), end, ran, report, now);
+        now += runTime;
+        table.attemptEnded(target(index), end, runTime, report, now);
     }
 
     [[nodiscard]] TargetHealth health(std::size_t index)
