--- a/tests/targets/fleet.h
+++ b/tests/targets/target_table_fixture.h
@@ -8,10 +8,11 @@
 namespace baobabtrail::test {
 
 /// \brief A service with targets in one or two domains and some daemons, as one daemon sees them.
-class Fleet
+class TargetTableFixture
 {
 public:
-    explicit Fleet(std::size_t targets, std::size_t daemons = 1, std::uint32_t slots = 2)
+    explicit TargetTableFixture(std::size_t targets, std::size_t daemons = 1,
+                                std::uint32_t slots = 2)
     {
         config.revision = Revision{1};
         service().id = serviceId("alexandria", "lending");
