--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -1,6 +1,6 @@
 #include "core/flows/flow_router.h"
 
-#include "core/flows/token_route.h"
+#include "core/flows/target_cut.h"
 
 #include <algorithm>
 #include <type_traits>
@@ -277,9 +277,9 @@
     return m_pending.nextTimer();
 }
 
-bool FlowRouter::waitsFor(TargetId target) const noexcept
+bool FlowRouter::hasPendingOpen(TargetId target) const noexcept
 {
-    return m_pending.waitsFor(target);
+    return m_pending.hasPendingOpen(target);
 }
 
 } // namespace baobabtrail
--- a/src/core/flows/flow_router.h
+++ b/src/core/flows/flow_router.h
@@ -26,7 +26,7 @@
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
     [[nodiscard]] std::size_t pendingOpens() const noexcept { return m_pending.size(); }
     /// \return Whether an open waits for this target's answer.
-    [[nodiscard]] bool waitsFor(TargetId target) const noexcept;
+    [[nodiscard]] bool hasPendingOpen(TargetId target) const noexcept;
 
 private:
     void open(const Endpoint &caller, OpenFlow message, Turn &turn);
--- a/src/core/flows/pending_opens.cpp
+++ b/src/core/flows/pending_opens.cpp
@@ -53,7 +53,7 @@
     return m_expiries.front().at;
 }
 
-bool PendingOpens::waitsFor(TargetId target) const noexcept
+bool PendingOpens::hasPendingOpen(TargetId target) const noexcept
 {
     const auto found = m_perTarget.find(target);
     return found != m_perTarget.end() && found->second > 0;
--- a/src/core/flows/pending_opens.h
+++ b/src/core/flows/pending_opens.h
@@ -40,7 +40,7 @@
     /// \return An open whose time is over, no longer pending.
     [[nodiscard]] std::optional<PendingOpen> takeExpired(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
-    [[nodiscard]] bool waitsFor(TargetId target) const noexcept;
+    [[nodiscard]] bool hasPendingOpen(TargetId target) const noexcept;
 
 private:
     struct Expiry
--- a/src/core/flows/token_route.cpp
+++ b/src/core/flows/target_cut.cpp
@@ -1,4 +1,4 @@
-#include "core/flows/token_route.h"
+#include "core/flows/target_cut.h"
 
 namespace baobabtrail {
 
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -211,7 +211,7 @@
 
 bool TrafficNode::Impl::inUse(TargetId target) const noexcept
 {
-    return m_requests.dispatcher().inUse(target) || m_flows.waitsFor(target);
+    return m_requests.dispatcher().inUse(target) || m_flows.hasPendingOpen(target);
 }
 
 std::optional<TimePoint> TrafficNode::Impl::nextTimer() const
--- a/src/language/impl/explain.cpp
+++ b/src/language/impl/explain.cpp
@@ -1,7 +1,7 @@
 #include "language/impl/explain.h"
 
 #include "core/config/apply.h"
-#include "core/flows/token_route.h"
+#include "core/flows/target_cut.h"
 #include "language/impl/tables.h"
 
 #include <boost/algorithm/hex.hpp>
