--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -40,7 +40,7 @@
                 keepAlive(caller, m, turn);
             else if constexpr (std::is_same_v<Message,
                                               FlowData> || std::is_same_v<Message, CloseFlow>)
-                forward(caller, std::forward<decltype(m)>(m), turn);
+                forwardToTarget(caller, std::forwardToTarget<decltype(m)>(m), turn);
         },
         std::move(message));
 }
@@ -127,9 +127,9 @@
 }
 
 template <typename Message>
-void FlowRouter::forward(const Endpoint &caller, Message message, Turn &turn)
+void FlowRouter::forwardToTarget(const Endpoint &caller, Message message, Turn &turn)
 {
-    if (!tokenHolds(message.flow, message.token, caller, turn))
+    if (!verifyToken(message.flow, message.token, caller, turn))
         return;
     if (wasCut(*m_context.config, message.token)) {
         reset(caller, message.flow, message.token.service, ResetCause::TargetCut, Duration{0},
@@ -137,7 +137,7 @@
         return;
     }
     if constexpr (std::is_same_v<Message, KeepAlive>)
-        renew(caller, message, turn);
+        renewToken(caller, message, turn);
     if constexpr (std::is_same_v<Message, CloseFlow>)
         turn.observe(FlowObserved{message.token.service, FlowEvent::Closed, {}, {}});
     const FlowToken token = message.token;
@@ -148,7 +148,7 @@
 // A flow may last longer than any key is accepted: two rotations after it was placed its token
 // would be refused and the flow reset. Whichever daemon sees its next keep-alive seals the token
 // anew, for the caller and, by passing it on, for the target.
-void FlowRouter::renew(const Endpoint &caller, KeepAlive &message, Turn &turn)
+void FlowRouter::renewToken(const Endpoint &caller, KeepAlive &message, Turn &turn)
 {
     if (message.token.epoch >= m_context.keys->currentEpoch())
         return;
@@ -159,22 +159,22 @@
 void FlowRouter::keepAlive(const Endpoint &caller, const KeepAlive &message, Turn &turn)
 {
     if (message.unanswered < m_context.settings.silentAfter) {
-        forward(caller, message, turn);
+        forwardToTarget(caller, message, turn);
         return;
     }
-    if (!tokenHolds(message.flow, message.token, caller, turn))
+    if (!verifyToken(message.flow, message.token, caller, turn))
         return;
     const std::optional<Duration> delay = m_context.targets.reopenDelay(
         message.token.target, message.unanswered, turn.now, m_context.random);
     if (!delay || wasCut(*m_context.config, message.token)) {
-        forward(caller, message, turn);
+        forwardToTarget(caller, message, turn);
         return;
     }
     // Something between the two ends has lost track of this flow: it stays silent for good while
     // new flows work. The target is told too, so that it doesn't hold the old flow until it ages
     // out.
     reset(caller, message.flow, message.token.service, ResetCause::Silent, *delay, turn);
-    forward(caller, CloseFlow{message.flow, message.token}, turn);
+    forwardToTarget(caller, CloseFlow{message.flow, message.token}, turn);
 }
 
 void FlowRouter::fromTarget(const Endpoint &address, TargetDatagram datagram, Turn &turn)
@@ -194,7 +194,7 @@
         turn.observe(RejectObserved{RejectKind::WrongTarget, token.service});
         return refused(datagram, RefuseFlow{flow, RefusalCause::NoTarget, Duration{0}}, turn);
     }
-    passOn(std::move(datagram), turn);
+    forwardToCaller(std::move(datagram), turn);
 }
 
 void FlowRouter::accepted(TargetDatagram &datagram, const AcceptFlow &accept, Turn &turn)
@@ -226,7 +226,7 @@
     place(std::move(open->ask), true, turn);
 }
 
-void FlowRouter::passOn(TargetDatagram datagram, Turn &turn)
+void FlowRouter::forwardToCaller(TargetDatagram datagram, Turn &turn)
 {
     const FlowToken &token = datagram.token;
     if (std::holds_alternative<OpenFlow>(datagram.body)
@@ -245,7 +245,8 @@
     turn.toCaller(datagram.caller, std::move(datagram.body));
 }
 
-bool FlowRouter::tokenHolds(FlowId flow, const FlowToken &token, const Endpoint &caller, Turn &turn)
+bool FlowRouter::verifyToken(FlowId flow, const FlowToken &token, const Endpoint &caller,
+                             Turn &turn)
 {
     const TokenError error = m_context.keys->checkFlow(flow, token);
     if (error == TokenError::None)
--- a/src/core/flows/flow_router.h
+++ b/src/core/flows/flow_router.h
@@ -35,16 +35,16 @@
     void refuse(const Handoff &ask, RefusalCause cause, Turn &turn);
 
     template <typename Message>
-    void forward(const Endpoint &caller, Message message, Turn &turn);
-    void renew(const Endpoint &caller, KeepAlive &message, Turn &turn);
+    void forwardToTarget(const Endpoint &caller, Message message, Turn &turn);
+    void renewToken(const Endpoint &caller, KeepAlive &message, Turn &turn);
     void keepAlive(const Endpoint &caller, const KeepAlive &message, Turn &turn);
 
     void accepted(TargetDatagram &datagram, const AcceptFlow &accept, Turn &turn);
     void refused(TargetDatagram &datagram, const RefuseFlow &refusal, Turn &turn);
-    void passOn(TargetDatagram datagram, Turn &turn);
+    void forwardToCaller(TargetDatagram datagram, Turn &turn);
 
-    [[nodiscard]] bool tokenHolds(FlowId flow, const FlowToken &token, const Endpoint &caller,
-                                  Turn &turn);
+    [[nodiscard]] bool verifyToken(FlowId flow, const FlowToken &token, const Endpoint &caller,
+                                   Turn &turn);
     void reset(const Endpoint &caller, FlowId flow, ServiceId service, ResetCause cause,
                Duration reopenAfter, Turn &turn);
 
--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -103,8 +103,8 @@
     cr_assert_eq(sendData(rig, token).size(), 1);
     cr_assert(rig.all<SendToTarget>().at(0).target == token.address);
 
-    NodeRig booted;
-    cr_assert_eq(sendData(booted, token).size(), 1);
+    NodeRig restarted;
+    cr_assert_eq(sendData(restarted, token).size(), 1);
     // Behind by many revisions: it has not even heard of the target.
     TrafficNode behind{NodeRig::identity(), {}, rig.keys, 1};
     TrafficActions actions;
@@ -139,7 +139,7 @@
 // Tokens that don't hold: for another flow, service or target, of keys long dropped. The sender is
 // told. One of a key that this daemon hasn't heard of yet is dropped without a word: a reset would
 // end a flow that every other daemon serves.
-Test(flow, isForwardedOnlyByItsOwnToken)
+Test(flow, isForwardedOnlyWithAValidToken)
 {
     NodeRig rig;
     const FlowToken token = accepted(rig);
@@ -176,7 +176,7 @@
 
 // A caller plays the target: with its own token it would have the daemons send what it likes to
 // whom it likes. Only the address that the token names is heard.
-Test(flow, takesATargetsWordOnlyFromItsAddress)
+Test(flow, acceptsTargetMessagesOnlyFromTheTokensAddress)
 {
     NodeRig rig;
     const FlowToken token = accepted(rig);
@@ -236,7 +236,7 @@
 
 // Two daemons each take the other for the owner, while the views change. The ask would go round
 // between them for ever; after two forwards it ends with an answer to the caller.
-Test(flow, isNotForwardedInARing)
+Test(flow, isNotForwardedInALoop)
 {
     NodeRig rig;
     rig.view.members.front().state = MemberState::Leaving;
@@ -266,7 +266,7 @@
 
 // A daemon that has just joined gets asks before it knows any target. It gives them back to the
 // entry, which knows more, with the target marked; the entry refuses only what it can't place.
-Test(flow, isGivenBackByADaemonThatKnowsNoTarget)
+Test(flow, isReturnedByADaemonThatKnowsNoTarget)
 {
     NodeRig rig;
     TrafficNode joined{NodeRig::identity(), {}, rig.keys, 1};
