--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -40,7 +40,7 @@
                 keepAlive(caller, m, turn);
             else if constexpr (std::is_same_v<Message,
                                               FlowData> || std::is_same_v<Message, CloseFlow>)
-                forwardToTarget(caller, std::forwardToTarget<decltype(m)>(m), turn);
+                forwardToTarget(caller, std::forward<decltype(m)>(m), turn);
         },
         std::move(message));
 }
