--- a/src/core/overload/held_requests.cpp
+++ b/src/core/overload/held_requests.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A request goes in the hope that it takes less than usual, but not without any.
+/// A request is in time if the expected answer time is left, or half of the promised latency where
+/// that is shorter: its answer may be faster than the average. With less left it is late.
 [[nodiscard]] bool inTime(const HeldRequest &request, Duration expected, TimePoint now) noexcept
 {
     const Duration hoped = std::min(expected, request.promise.latency / 2);
--- a/src/core/overload/held_requests.h
+++ b/src/core/overload/held_requests.h
@@ -9,21 +9,22 @@
 
 namespace baobabtrail {
 
-/// \brief A request whose first segment waits for room at its flow's target.
+/// \brief A request whose first segment is held until its flow's target has room for it.
 struct HeldRequest
 {
     FlowKey flow;
     RequestPromise promise;
-    TimePoint waitingSince; ///< When its caller began to wait, as far as is known.
+    TimePoint waitingSince; ///< When its caller began to wait, as far as this daemon can tell.
     TimePoint heldAt;
 };
 
-/// \brief The requests that wait for one target, and which of them goes next.
+/// \brief The requests held for one target, and the order in which they are sent.
 ///
-/// Load pattern: more requests than slots, for seconds. Served in order, all wait about as long as
-/// the backlog is deep, and all are late; the newest first, as many as there are slots are in time
-/// and the rest is late, which it was anyway. Before that, what a route's operator calls more
-/// urgent goes first, and what can still be in time before what can't.
+/// Load pattern: more requests than slots for several seconds. In FIFO order every request waits
+/// for the whole backlog, so all answers are late. In LIFO order as many requests as there are
+/// slots are answered in time, and the others would have been late anyway. The order is: requests
+/// that can still be in time before those that can't, then by the priority of the route, then the
+/// newest first.
 class HeldRequests
 {
 public:
@@ -33,24 +34,26 @@
     }
 
     void add(const HeldRequest &request) { m_requests.push_back(request); }
-    /// \return Whether it waited here.
+    /// \return Whether a request of the flow was held.
     bool remove(const FlowKey &flow);
 
-    /// \param expected Time from now to the answer of what goes now.
-    /// \param allowLate Whether one that is late already may go.
-    /// \return The one that goes next, which no longer waits; nothing where none does.
+    /// \brief Removes the request that is sent next.
+    /// \param expected Expected time from now to the answer of a request that is sent now.
+    /// \param allowLate Whether a request that can't be in time any more may be sent.
+    /// \return The request, or nothing where none may be sent.
     [[nodiscard]] std::optional<HeldRequest> takeNext(Duration expected, bool allowLate,
                                                       TimePoint now);
-    /// \return One whose caller will have given up before an answer could come; it no longer waits.
+    /// \brief Removes a request whose caller's timeout passes before the expected answer.
+    /// \return The request, or nothing where there is none.
     [[nodiscard]] std::optional<HeldRequest> takePastDeadline(Duration expected, TimePoint now);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_requests.size(); }
 
 private:
     using Iterator = std::vector<HeldRequest>::iterator;
-    /// \return Whether \a a goes before \a b, where both can still be in time.
+    /// \return Whether \a a is sent before \a b, where both can still be in time.
     [[nodiscard]] bool precedes(const HeldRequest &a, const HeldRequest &b) const noexcept;
-    /// \return The same where both are late: the one whose caller gives up first.
+    /// \return The same where both are late: the one whose caller times out first.
     [[nodiscard]] bool precedesWhenLate(const HeldRequest &a, const HeldRequest &b) const noexcept;
     [[nodiscard]] HeldRequest take(Iterator place);
 
--- a/src/core/overload/overload_settings.h
+++ b/src/core/overload/overload_settings.h
@@ -6,28 +6,31 @@
 
 namespace baobabtrail {
 
-/// \brief Bounds of what is done where callers ask for more than targets carry.
+/// \brief Settings of the holding of requests for targets that are saturated.
 struct OverloadSettings
 {
-    bool hold = true;        ///< Requests wait here instead of in the targets' own queues.
-    bool newestFirst = true; ///< Else the oldest goes first.
-    bool priorities = true;  ///< The more urgent goes before the newer.
-    /// Share of the promised latency from which on a target counts as saturated, and at which its
-    /// answers are kept then: the rest is for the wait here, and for work that takes longer than
-    /// most. Targets whose slots are free answer within a quarter to a third of it.
+    bool hold = true;        ///< Hold requests here instead of in the queues of the targets.
+    bool newestFirst = true; ///< Send the newest request first; else the oldest.
+    bool priorities = true;  ///< Send by the route's priority first, then by age.
+    /// A target counts as saturated when its average answer takes more than this share of the
+    /// promised latency; its window then holds answers at this share. The rest is left for the
+    /// wait here and for requests that take longer than average. Targets with free slots answer
+    /// within a quarter to a third of the promised latency.
     double saturatedShare = 0.6;
-    /// Fewest and most requests of this daemon that a saturated target has at once. At the most, it
-    /// counts as saturated no longer.
+    /// Bounds of the window: how many requests of this daemon a saturated target has at once. A
+    /// target whose window reaches the maximum no longer counts as saturated.
     double minWindow = 0.3;
     double maxWindow = 12.0;
-    /// The window after an answer: so much of it where answers are too slow, else so much more.
+    /// The window changes with every answer (additive increase, multiplicative decrease): it is
+    /// multiplied by decreaseFactor while answers are too slow, else increaseStep is added.
     double decreaseFactor = 0.95;
     double increaseStep = 0.15;
-    /// Share of the window that requests which are late already may fill: the next one that can
-    /// still be in time then finds room.
+    /// Share of the window that late requests may fill, so that the next request that can still be
+    /// in time finds room.
     double lateShare = 0.25;
-    /// Requests that wait for one target, and bytes that wait in all. What comes beyond that goes
-    /// on: the target's own queue is bounded too, and answers what does not fit.
+    /// Maximum requests held for one target, and maximum bytes held for all targets. Requests
+    /// beyond that are forwarded at once: the target's own queue is bounded too and refuses what
+    /// does not fit.
     std::size_t maxHeldPerTarget = 256;
     std::size_t maxHeldBytes = std::size_t{4} << 20;
 };
--- a/src/core/overload/request_gate.h
+++ b/src/core/overload/request_gate.h
@@ -9,10 +9,10 @@
 
 namespace baobabtrail {
 
-/// \brief Decides when a request on an open flow goes on to the flow's target.
+/// \brief Decides when a request on an open flow is forwarded to the flow's target.
 ///
-/// An open flow can't be moved or refused; the one thing left to decide is when its next request
-/// reaches the target. The gate holds no packets, only which requests wait.
+/// An open flow can be neither moved nor refused, so all that can be decided is when its next
+/// request reaches the target. The gate stores no packets, only which requests are held.
 class RequestGate
 {
 public:
@@ -23,37 +23,38 @@
     RequestGate(const RequestGate &) = delete;
     RequestGate &operator=(const RequestGate &) = delete;
 
-    /// \return Whether the request waits from now on; else it goes on.
+    /// \brief Holds a request for which its target has no room.
+    /// \return Whether the request is held; else the caller forwards it.
     bool tryHold(TargetId target, const HeldRequest &request);
-    /// \brief A request went to the target, whether it was held or not.
+    /// \brief A request was sent to the target, whether it was held before or not.
     void sent(TargetId target, TimePoint now);
     /// \brief The target answered. \see TargetWindow::answered
     void answered(TargetId target, Duration took, Duration promised, TimePoint now);
     /// \brief A request was answered, or its flow has ended. \see TargetWindow::ended
     void ended(TargetId target, TimePoint sentAt);
 
-    /// \return A request that goes on now, for which there is room.
+    /// \return A held request to be forwarded now, for which the target has room.
     [[nodiscard]] std::optional<HeldRequest> takeNext(TargetId target, TimePoint now);
-    /// \return A request that nobody waits for any more by the time it could be answered.
+    /// \return A held request to be abandoned: its caller times out before an answer could arrive.
     [[nodiscard]] std::optional<HeldRequest> takePastDeadline(TargetId target, TimePoint now);
-    /// \return Any request that waits for the target, which is no longer worth waiting for.
+    /// \return Any held request of a target for which nothing should be held any more.
     [[nodiscard]] std::optional<HeldRequest> takeAny(TargetId target, TimePoint now);
-    /// \brief Holds no request from now on; those that wait stay until they are taken.
+    /// \brief Holds no further requests; those that are held stay until they are taken.
     void stopHolding() noexcept { m_settings.hold = false; }
-    /// \brief The caller has ended the flow. \return Whether a request of it waited.
+    /// \brief Removes the held request of a flow. \return Whether there was one.
     bool erase(TargetId target, const FlowKey &flow);
-    /// \brief Forgets what was learnt of a target that has gone or has started again.
+    /// \brief Erases the state of a target that has gone or has restarted, with its held requests.
     void erase(TargetId target);
 
-    /// \brief Forgets all targets but those that \a isKnown names.
+    /// \brief Erases all targets for which \a isKnown returns false.
     void retainOnly(const std::function<bool(TargetId)> &isKnown);
 
-    /// \return The window of a target; null where nothing was learnt of it.
+    /// \return The window of a target; null where no request was sent to it yet.
     [[nodiscard]] const TargetWindow *window(TargetId target) const;
     [[nodiscard]] std::size_t heldFor(TargetId target) const;
-    /// \return Requests that wait, of all targets.
+    /// \return Held requests of all targets.
     [[nodiscard]] std::size_t held() const noexcept { return m_held; }
-    /// \return Targets for which requests wait.
+    /// \return Targets for which requests are held.
     [[nodiscard]] std::vector<TargetId> targetsWithHeldRequests() const;
 
 private:
@@ -69,6 +70,7 @@
     };
 
     [[nodiscard]] Entry *find(TargetId target);
+    /// \brief Subtracts a request that was taken from the count of held ones.
     [[nodiscard]] std::optional<HeldRequest> countTaken(std::optional<HeldRequest> taken);
 
     OverloadSettings m_settings;
--- a/src/core/overload/target_window.cpp
+++ b/src/core/overload/target_window.cpp
@@ -6,20 +6,23 @@
 
 namespace {
 
-/// Share of a new answer in the moving means: about the last five answers count, so that one long
-/// piece of work is no saturation, and a queue that fills within half a second is seen in time.
+/// Weight of a new answer in the moving averages. About the last five answers count: one slow
+/// request does not look like saturation, and a queue that fills within half a second is noticed
+/// in time.
 constexpr double AnswerGain = 0.2;
-/// An answer counts for at most so many times the promised latency: a full queue takes that long,
-/// and a single request that was stuck elsewhere does not make a target saturated.
+/// Answer times are capped at this multiple of the promised latency. A full queue takes that long;
+/// without the cap a single request that was delayed elsewhere would make the target saturated.
 constexpr double MaxAnswerShare = 1.5;
-/// An answer that takes less than this share of the usual one was none to work, as long as others
-/// to work have come lately. Work whose times spread by a half is so quick once in a hundred.
+/// An answer faster than this share of the average counts as a refusal, as long as a slower answer
+/// was seen within MaxServedAge. With service times that spread by a half, one real answer in a
+/// hundred is that fast.
 constexpr double RefusalShare = 0.3;
 constexpr Duration MaxServedAge = 500ms;
-/// A request counts as lost after so many usual answers: with a full queue of four times the slots
-/// an answer takes five times the work, and the usual answer has grown as well then.
+/// A request counts as lost after this many times the average answer time. With a full queue of
+/// four times the slots an answer takes five times the service time, but the average has grown by
+/// then as well.
 constexpr int LostAfterAnswers = 3;
-/// Nor before that: an end sends its last bytes again after 200 ms.
+/// Minimum age of a lost request: an endpoint retransmits its last bytes after 200 ms.
 constexpr Duration MinLostAfter = 250ms;
 
 void blend(double &mean, double sample) noexcept
@@ -43,9 +46,9 @@
         m_inFlight.erase(found);
 }
 
-// An answer may never be seen here: its caller gave up, or its flow goes through another daemon
-// since one has come or gone. Counted for ever, a few of these would close a small window, and all
-// that waits for the target would wait until its callers give up.
+// This daemon may never see an answer: the caller timed out, or the flow passes through another
+// daemon since one joined or left. If such requests counted for ever, a few of them would fill a
+// small window, and every request held for the target would wait until its caller times out.
 void TargetWindow::eraseLost(TimePoint now)
 {
     const Duration longest = std::max(LostAfterAnswers * meanAnswerTime(), MinLostAfter);
@@ -62,14 +65,14 @@
         return true;
     if (!m_inFlight.empty())
         return false;
-    // A window of half a request is one request in the time of two answers.
+    // A window below one spaces requests out: half a request is one request per two answer times.
     const Duration pause{static_cast<Duration::rep>(m_meanMicros / m_window)};
     return now - m_lastSentAt >= std::min(pause, MinLostAfter);
 }
 
-// A target whose queue is full refuses at once. Taken for a quick answer, that opened the window of
-// the very targets that were full: with half as much again as the slots carry, one request in
-// twenty was held. Once all answers are quick, they are no refusals.
+// A target whose queue is full refuses at once. Counted as fast answers, refusals widened the
+// window of exactly the targets that were full: at a load of 1.5 times the slots only one request
+// in twenty was held. If all answers are fast, they are not refusals.
 bool TargetWindow::isRefusal(double micros, TimePoint now) noexcept
 {
     if (micros < m_meanMicros * RefusalShare)
--- a/src/core/overload/target_window.h
+++ b/src/core/overload/target_window.h
@@ -7,14 +7,14 @@
 
 namespace baobabtrail {
 
-/// \brief How many requests of this daemon one target may have at once.
+/// \brief Concurrency window of one target: how many requests of this daemon it may have at once.
 ///
-/// Load pattern: more requests than slots, for longer than the target's queue absorbs. A target
-/// works off what came first, so that with a full queue every answer is late though it is never
-/// idle. Every daemon sees the time of its own answers, which the requests of all others stretch
-/// too; each shrinks its window until the queue is short, without a word between them.
+/// Load pattern: more requests than slots for longer than the target's queue can absorb. A target
+/// serves its queue in FIFO order, so with a full queue every answer is late although the target is
+/// never idle. The requests of all daemons lengthen the answer times that each of them measures, so
+/// each daemon shrinks its own window until the queue is short, without any messages between them.
 ///
-/// Below saturation there is no window: holding costs latency there and gains nothing.
+/// Below saturation there is no window: holding requests there would only add latency.
 class TargetWindow
 {
 public:
@@ -23,28 +23,28 @@
     {
     }
 
-    /// \brief A request went to the target.
+    /// \brief A request was sent to the target.
     void sent(TimePoint at);
-    /// \brief A request that went there at \a sentAt was answered, or its flow has ended.
+    /// \brief The request that was sent at \a sentAt was answered, or its flow has ended.
     void ended(TimePoint sentAt);
     /// \brief The target answered a request; to be called before ended().
-    /// \param took From the last byte of the request to the first of the answer that was seen.
-    /// \param promised Latency that the request's route promises; 0 for none, and no conclusion.
+    /// \param took Time from the last byte of the request to the first byte seen of the answer.
+    /// \param promised Latency that the request's route promises; 0 for none, and nothing changes.
     void answered(Duration took, Duration promised, TimePoint now) noexcept;
 
-    /// \return Whether the target counts as saturated.
+    /// \return Whether the target counts as saturated, so that the window applies.
     [[nodiscard]] bool limited() const noexcept { return m_limited; }
-    /// \return Whether one more request may go to the target.
+    /// \return Whether one more request may be sent to the target.
     [[nodiscard]] bool hasRoom(TimePoint now);
-    /// \return The same for one that is late already; to be asked after hasRoom(). An idle target
-    /// has room for any: without its answers nothing would be learnt of it any more.
+    /// \return The same for a request that is late already; to be called after hasRoom(). An idle
+    /// target has room for any request: without answers its window could never grow again.
     [[nodiscard]] bool hasRoomForLate() const noexcept
     {
         return !m_limited || m_inFlight.empty() || used() + 1 <= m_window * m_settings.lateShare;
     }
-    /// \return Requests at once; meaningless where limited() is false.
+    /// \return Requests that may be in flight at once; meaningless where limited() is false.
     [[nodiscard]] double size() const noexcept { return m_window; }
-    /// \return Moving mean of the time to the answer; 0 before the first one.
+    /// \return Moving average of the time to an answer; 0 before the first one.
     [[nodiscard]] Duration meanAnswerTime() const noexcept
     {
         return Duration{static_cast<Duration::rep>(m_meanMicros)};
@@ -58,11 +58,11 @@
     const OverloadSettings &m_settings;
     bool m_limited = false;
     double m_window = 0;
-    double m_meanShare = 0;  ///< Moving mean of the answers' share of the promised latency.
-    double m_meanMicros = 0; ///< Moving mean of the answers.
-    TimePoint m_servedAt{};  ///< Last answer that took as long as work takes.
+    double m_meanShare = 0;  ///< Moving average of answer time over promised latency.
+    double m_meanMicros = 0; ///< Moving average of the answer time.
+    TimePoint m_servedAt{};  ///< Last answer that was no immediate refusal.
     TimePoint m_lastSentAt{};
-    std::deque<TimePoint> m_inFlight; ///< When each request without an answer went, in order.
+    std::deque<TimePoint> m_inFlight; ///< When each unanswered request was sent, in order.
 };
 
 } // namespace baobabtrail
