--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -19,7 +19,7 @@
     return {{{1, caller}, {2, 443}}, promise, Begin + begunAfter, Begin + begunAfter};
 }
 
-/// \brief A window whose answers were slow until it counted as saturated.
+/// \brief A window that saw slow answers until its target counted as saturated.
 [[nodiscard]] TargetWindow saturated(const OverloadSettings &settings)
 {
     TargetWindow window{settings};
@@ -34,15 +34,15 @@
 
 } // namespace
 
-// Requests take 40 to 60 ms of 200 ms; one of them takes a second, since its packets were lost.
-// That is no saturation: a window for it would hold what could be served at once.
+// Answers take 50 ms of 200 ms, except one that takes a second because packets were lost. Were
+// that taken for saturation, requests that could be served at once would be held.
 Test(window, oneSlowAnswerDoesNotSaturate)
 {
     TargetWindow window{Usual};
     for (int answer = 0; answer < 50; ++answer)
         window.answered(answer == 30 ? 1s : 50ms, 200ms, Begin);
     cr_assert(!window.limited());
-    window.answered(1s, 0ms, Begin); // A route that promises nothing says nothing either.
+    window.answered(1s, 0ms, Begin); // A route without a promised latency has no effect.
     cr_assert(!window.limited() && window.hasRoom(Begin));
 }
 
@@ -56,8 +56,8 @@
     cr_assert(!window.limited());
 }
 
-// Four in five requests find a full queue and are refused at once; the others take long. Taken for
-// quick answers, the refusals would open the window of a target that is full.
+// Four in five requests find a full queue and are refused at once; the others take long. Counted
+// as fast answers, the refusals would widen the window of a target that is full.
 Test(window, refusalsDoNotCountAsFastAnswers)
 {
     TargetWindow window{Usual};
@@ -67,9 +67,9 @@
     cr_assert_leq(window.size(), 1.0);
 }
 
-// A daemon joins, and half of the flows go through it from then on, with the answers of requests
-// that this daemon had sent. Counted for ever, they would shut the window for good, and all that
-// waits for the target would wait until its callers give up.
+// A daemon joins and takes over half of the flows, with the answers to requests that this daemon
+// sent. Counted for ever, these requests would keep the window full, and all held requests would
+// wait until their callers time out.
 Test(window, requestsAnsweredThroughAnotherDaemonExpire)
 {
     TargetWindow window = saturated(Usual);
@@ -80,8 +80,8 @@
     cr_assert(window.hasRoomForLate());
 }
 
-// Many daemons share a target, so that one request each is too many. A window of less than one
-// lets a request go from time to time.
+// Many daemons share a target, so that even one request from each is too many. A window below one
+// lets a request through from time to time.
 Test(window, belowOneLetsARequestThroughNowAndThen)
 {
     TargetWindow window = saturated(Usual);
@@ -105,8 +105,8 @@
     cr_assert(!held.takeNext(60ms, false, now));
 }
 
-// Work that is late already fills the slots, and what comes a moment later has to wait for it and
-// is late as well.
+// Guards against late requests that fill the slots, so that the requests after them have to wait
+// and are late as well.
 Test(heldRequests, lateRequestsLeaveRoomForTimelyOnes)
 {
     HeldRequests held{Usual};
@@ -116,7 +116,7 @@
     const TimePoint now = Begin + 310ms;
     cr_assert(held.takeNext(60ms, true, now)->flow.caller.port == 2);
     cr_assert(!held.takeNext(60ms, false, now));
-    cr_assert(held.takeNext(60ms, true, now)->flow.caller.port == 1); // Its caller gives up first.
+    cr_assert(held.takeNext(60ms, true, now)->flow.caller.port == 1); // Its caller times out first.
     cr_assert_eq(held.size(), 1);
 }
 
@@ -130,8 +130,8 @@
     cr_assert(!held.takePastDeadline(100ms, Begin + 1150ms));
 }
 
-// A flood for one target must not take the daemon's memory: what is too much goes on, and the
-// target's own queue answers it.
+// A flood of requests for one target must not exhaust the daemon's memory: requests beyond the
+// bound are forwarded, and the target's own queue refuses them.
 Test(gate, boundsHeldRequests)
 {
     OverloadSettings settings;
--- a/tests/overload/load_test.cpp
+++ b/tests/overload/load_test.cpp
@@ -19,8 +19,9 @@
 
 } // namespace
 
-// Twice what slots carry: most requests find full queues and are refused at once. Taken for
-// quick answers, the refusals opened the windows again: 0.34 of 0.50 in time instead of 0.47.
+// At twice the capacity most requests find full queues and are refused at once. Counted as fast
+// answers, the refusals widened the windows again: a share of 0.34 was in time instead of 0.47, of
+// the 0.50 that the slots allow.
 Test(load, loadOfTwiceTheCapacity)
 {
     LoadPattern pattern;
@@ -29,9 +30,9 @@
     cr_assert_geq(held.shareInTime(), 0.85 * slotsAllow(pattern), "%.3f", held.shareInTime());
 }
 
-// Callers ask for half as much again as the slots carry, for six seconds. Targets work off what
-// came first and shed the rest, which comes again: nearly every answer is late, though no slot is
-// ever idle. Held here, newest first, most of what the slots allow is in time.
+// Callers send 1.5 times the capacity for six seconds. Targets serve their queues in FIFO order and
+// shed the rest, which is retried: nearly every answer is late although no slot is ever idle. With
+// requests held here and the newest sent first, most of what the slots allow is in time.
 Test(load, loadHalfAboveCapacity)
 {
     LoadPattern pattern;
@@ -50,7 +51,7 @@
     }
 }
 
-// Load a little above what slots carry is where holding can lose: it may still not cost anything.
+// Slightly above capacity, holding requests may gain little, but it must not make things worse.
 Test(load, loadSlightlyAboveCapacity)
 {
     LoadPattern pattern;
@@ -63,7 +64,7 @@
                  queued.shareInTime());
 }
 
-// Below saturation a request that is held is late for nothing.
+// Below saturation, holding a request would only delay it.
 Test(load, nothingIsHeldBelowSaturation)
 {
     LoadPattern pattern;
@@ -76,8 +77,9 @@
     }
 }
 
-// A third of the targets falls silent while the load is near what all of them carry. What waits
-// for a silent target must not wait here, where nobody would notice, and the others are saturated.
+// A third of the targets stops answering while the load is near the capacity of all of them, so the
+// other targets become saturated. Requests for a silent target must not be held here, where its
+// silence would go unnoticed.
 Test(load, silentTargetsWhileLoadIsHigh)
 {
     LoadPattern pattern;
@@ -90,7 +92,7 @@
                   held.shareInTime(), queued.shareInTime());
 }
 
-// A flood of what is less urgent must not delay what is more urgent.
+// A flood of less urgent requests must not delay the more urgent ones.
 Test(load, moreUrgentRequestsGoFirst)
 {
     LoadPattern pattern;
