--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -35,9 +35,9 @@
 
     std::size_t capacity;
     impl::QueueLanes lanes;
-    double meanRunMicros = 0; ///< Mean time of an attempt in microseconds; 0 before the first.
+    double meanRunMicros = 0; ///< Moving average of an attempt's run time; 0 before the first.
     double slots = 1;
-    double refusals = 0; ///< Of the last second, fading.
+    double refusals = 0; ///< Recent refusals; decays over RefusalDecaySeconds.
     TimePoint refusalsAt{};
 };
 
@@ -50,8 +50,8 @@
 std::optional<QueueRefusal> AdmissionQueue::Impl::refusalIfTooLate(const QueueEntry &entry,
                                                                    TimePoint now) const
 {
-    // Taken in, such a request would hold a place until its deadline and then fail: its caller
-    // waits for nothing and another one is refused for it.
+    // If enqueued, such a request would occupy a place until its deadline and then fail: its caller
+    // would wait in vain, and another request would be refused because of it.
     const std::size_t ahead = lanes.ahead(entry);
     if (now + (ahead > 0 ? expectedWait(ahead) : Duration{0}) < entry.deadline)
         return std::nullopt;
@@ -63,7 +63,8 @@
     if (lanes.size() < capacity)
         return true;
     displaced = lanes.evictNewestOfLowerClass(entry.requestClass);
-    // A workspace that floods fills every place; the others take their shares back from it.
+    // A workspace that floods the queue fills every place; others displace its entries until they
+    // have their shares.
     if (!displaced)
         displaced = lanes.evictNewestOfHeaviestWorkspace(entry);
     return displaced.has_value();
@@ -79,8 +80,8 @@
 
 Duration AdmissionQueue::Impl::retryAfter(Random &random) const
 {
-    // The refused come back over the time that serving all of them would take; a fixed wait would
-    // bring the whole crowd back at one instant, to be refused again.
+    // Retries are spread over the time that serving all refused requests would take. After a fixed
+    // wait all callers would retry at the same instant and be refused again (thundering herd).
     const double perEntry = meanRunMicros / slots;
     const double drain = perEntry * static_cast<double>(lanes.size());
     const double shortest = std::max(drain, static_cast<double>(MinRetryAfter.count()));
--- a/src/core/limits/impl/queue_lanes.cpp
+++ b/src/core/limits/impl/queue_lanes.cpp
@@ -35,8 +35,8 @@
     if (m_byRequest.contains(entry.request))
         return;
     Workspace &workspace = workspaceOf(entry.workspace);
-    // A workspace that was away starts level with the others: time that it did not use gives it no
-    // claim to run alone now.
+    // A workspace that was idle continues at the current virtual time: it gets no credit for the
+    // time that it did not use, or it would now run alone.
     if (workspace.held == 0)
         workspace.virtualTime = std::max(workspace.virtualTime, m_virtualTime);
     const Place place{&workspace, laneOf(entry.requestClass), m_next++, entry.ready};
--- a/src/core/limits/impl/queue_lanes.h
+++ b/src/core/limits/impl/queue_lanes.h
@@ -13,31 +13,33 @@
 
 namespace baobabtrail::impl {
 
-/// \brief The entries of an AdmissionQueue: by class, then workspace, then arrival.
+/// \brief The entries of an AdmissionQueue, ordered by class, then workspace, then arrival.
 ///
-/// Workspaces take turns by virtual time: each start moves a workspace's on by the inverse of its
-/// weight, and the workspace that is furthest behind starts next.
+/// Weighted fair queueing by virtual time: each entry that starts advances its workspace's virtual
+/// time by the inverse of the workspace's weight, and the workspace with the lowest virtual time
+/// starts next.
 class QueueLanes
 {
 public:
     void setWeight(const std::string &workspace, std::uint32_t weight);
 
     void add(const QueueEntry &entry);
-    /// \return Whether it was there.
+    /// \return Whether the request was in the queue.
     bool setReady(const RequestId &request);
     bool remove(const RequestId &request);
     [[nodiscard]] std::optional<QueueEntry> takeNext();
     void takeExpired(TimePoint now, std::vector<QueueEntry> &expired);
     [[nodiscard]] std::optional<QueueEntry> evictNewestOfLowerClass(RequestClass than);
-    /// \brief Takes the newest entry of the arrival's class from the workspace that holds most for
-    /// its weight, where that is more than the arrival's workspace would hold.
+    /// \brief Evicts the newest entry of the arrival's class from the workspace with the most
+    /// entries per weight, if that is more than the arrival's workspace would have.
     [[nodiscard]] std::optional<QueueEntry>
     evictNewestOfHeaviestWorkspace(const QueueEntry &arrival);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_byRequest.size(); }
-    /// \return Entries that start before \a arrival would.
+    /// \return Number of entries that would start before \a arrival.
     [[nodiscard]] std::size_t ahead(const QueueEntry &arrival) const noexcept;
-    /// \return Whether others wait too and the workspace holds at least its share of the places.
+    /// \return Whether other workspaces have entries too and one more entry of this workspace would
+    /// exceed its share of the places.
     [[nodiscard]] bool aboveShare(const std::string &workspace, std::size_t capacity) const;
 
 private:
@@ -71,7 +73,7 @@
     std::set<std::pair<TimePoint, RequestId>> m_byDeadline;
     std::array<std::size_t, RequestClassCount> m_perClass{};
     Sequence m_next = 0;
-    double m_virtualTime = 0; ///< Of the workspace that started last.
+    double m_virtualTime = 0; ///< Highest at which a workspace has started an entry.
 };
 
 } // namespace baobabtrail::impl
--- a/src/core/limits/retry_budget.h
+++ b/src/core/limits/retry_budget.h
@@ -6,15 +6,15 @@
 
 namespace baobabtrail {
 
-/// \brief Bounds retries to a share of first attempts, so that they never amplify an overload.
+/// \brief Limits retries to a percentage of first attempts, so that they can't amplify an overload.
 ///
-/// Every first attempt earns a part of a retry, every retry spends a whole one. A small reserve
-/// lets a quiet workspace retry at all.
+/// Every first attempt adds a fraction of a token, every retry spends a whole one. The bucket
+/// starts full, so that a workspace with few requests can retry too.
 class RetryBudget
 {
 public:
-    /// \param percent Retries for each hundred first attempts. \param reserve Most retries saved
-    /// up.
+    /// \param percent Retries per hundred first attempts. \param reserve Maximum balance, in
+    /// retries.
     explicit RetryBudget(std::uint32_t percent = 10, double reserve = 10.0) noexcept
         : m_earned(percent / 100.0)
         , m_reserve(reserve)
@@ -23,7 +23,8 @@
     }
 
     void firstAttempt() noexcept;
-    /// \return Whether a retry may be made; it is spent then.
+    /// \brief Takes one retry from the balance.
+    /// \return Whether the retry may be made.
     [[nodiscard]] bool spend() noexcept;
     [[nodiscard]] double balance() const noexcept { return m_balance; }
 
