--- a/tests/limits/admission_queue_test.cpp
+++ b/tests/limits/admission_queue_test.cpp
@@ -48,8 +48,8 @@
     cr_assert_not(fixture.pop());
 }
 
-// The queue is full of uploads when a pass check arrives.
-// The newest upload gives way and is answered as not run; an upload that arrives is refused.
+// The queue is full of less urgent requests when an urgent one arrives. The newest of the lowest
+// class is displaced and answered as not run; one more of that class is refused.
 Test(admissionQueue, anUrgentArrivalDisplacesTheNewestOfALesserClass)
 {
     QueueFixture fixture{3};
@@ -64,8 +64,8 @@
     cr_assert_eq(fixture.queue.size(), 3U);
 }
 
-// One workspace fills the queue before the other's first request arrives.
-// The other still gets its half of the places and of the turns, or by weight.
+// One workspace fills the queue before the other's first request arrives. The other must still get
+// its share of places and of starts: half of them, or by weight.
 Test(admissionQueue, aFloodCostsOtherWorkspacesLittle)
 {
     for (const std::uint32_t weight : {100U, 300U}) {
@@ -85,7 +85,8 @@
     }
 }
 
-// A workspace that was away comes back. It gets its turns from now on, not those that it missed.
+// A workspace sends requests again after it was idle. It must get its share from now on and no
+// credit for the time in which it was idle.
 Test(admissionQueue, anIdleWorkspaceSavesUpNoTurns)
 {
     QueueFixture fixture{100};
@@ -103,9 +104,9 @@
     cr_assert(turns["school"] >= 4 && turns["school"] <= 6);
 }
 
-// Ten requests of 100 ms each wait for one slot when one with half a second left arrives.
-// It is refused at once instead of waiting in vain; as an urgent one it would go first and is
-// taken.
+// Ten requests of 100 ms each wait for one slot when a request with half a second left arrives. It
+// must be refused at once instead of waiting in vain. An urgent one starts first, so it is
+// accepted.
 Test(admissionQueue, whatCannotStartInTimeIsRefusedOnArrival)
 {
     QueueFixture fixture{100};
@@ -134,8 +135,8 @@
     cr_assert_eq(fixture.queue.size(), 0U);
 }
 
-// A reservation holds its place while its data is on the way; a free slot goes to one that is
-// ready.
+// A reservation keeps its place in the queue while its data is on the way, but a free slot goes to
+// a request that is ready.
 Test(admissionQueue, aReservationHoldsAPlaceButNoSlot)
 {
     QueueFixture fixture{2};
@@ -158,8 +159,8 @@
     cr_assert_not(fixture.push(RequestClass::Normal));
 }
 
-// A crowd is refused at one instant. Its members come back spread over the time that serving them
-// all would take, not together.
+// Many callers are refused at one instant. Their retries must be spread over the time that serving
+// all of them would take, or they would return together and be refused again.
 Test(admissionQueue, refusedCallersRetrySpreadOut)
 {
     QueueFixture fixture{10};
--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-// Answers take 50 ms of 200 ms, except one that takes a second because packets were lost. Were
-// that taken for saturation, requests that could be served at once would be held.
+// Answers take 40 to 60 ms of 200 ms, except one that takes a second because packets were lost.
+// Were that taken for saturation, requests that could be served at once would be held.
 Test(window, oneSlowAnswerDoesNotSaturate)
 {
     TargetWindow window{Usual};
