--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -78,7 +78,7 @@
     m_table.enter(record, QueuedState{std::move(payload)}, record.token.deadline);
     const TargetId target = record.target;
     const RequestId id = record.id;
-    m_lines[target].waiting.ready(id);
+    m_lines[target].waiting.setReady(id);
     pump(target, turn);
     const RequestRecord *waiting = m_table.find(id);
     if (waiting && waiting->waits())
@@ -115,7 +115,7 @@
 {
     for (;;) {
         std::vector<QueueEntry> expired;
-        const std::optional<RequestId> next = line.waiting.next(turn.now, expired);
+        const std::optional<RequestId> next = line.waiting.pop(turn.now, expired);
         for (const QueueEntry &late : expired) {
             RequestRecord *record = m_table.find(late.request);
             if (record && record->waits())
@@ -323,7 +323,7 @@
     const bool ready = std::holds_alternative<QueuedState>(state);
     record.target = target;
     m_table.enter(record, std::move(state), ready ? record.token.deadline : record.dueAt);
-    m_lines[target].waiting.adopt(entryOf(record), ready);
+    m_lines[target].waiting.addMoved(entryOf(record), ready);
     pump(target, turn);
 }
 
--- a/src/core/requests/dispatcher.h
+++ b/src/core/requests/dispatcher.h
@@ -2,7 +2,7 @@
 
 #include "core/limits/retry_budget.h"
 #include "core/requests/outcomes.h"
-#include "core/requests/waiting_line.h"
+#include "core/requests/target_queue.h"
 #include "core/traffic/target_links.h"
 
 #include <map>
@@ -52,7 +52,7 @@
     struct Line
     {
         ServiceId service;
-        WaitingLine waiting;
+        TargetQueue waiting;
         std::uint32_t running = 0;
         std::uint32_t slots = 1;
         std::uint32_t foreign = 0;          ///< Work of others at the target, by its last report.
--- a/src/core/requests/waiting_line.h
+++ b/src/core/requests/target_queue.h
@@ -10,10 +10,10 @@
 /// \brief The requests that hold a place at one target: reserved or queued, not yet started.
 ///
 /// A place is taken by the reservation, before the request itself is here; it starts no earlier.
-class WaitingLine
+class TargetQueue
 {
 public:
-    WaitingLine()
+    TargetQueue()
         : m_queue(1)
     {
     }
@@ -28,35 +28,35 @@
                                                     std::optional<QueueEntry> &displaced);
     /// \brief Takes a place in front, whether there is room or not, for a request that another
     /// target could not run.
-    void adopt(const QueueEntry &entry, bool ready);
+    void addMoved(const QueueEntry &entry, bool ready);
     /// \brief The request itself has come.
     void ready(const RequestId &request);
     /// \return The next request to start, or nothing. Entries past their deadline go to \a expired.
-    [[nodiscard]] std::optional<RequestId> next(TimePoint now, std::vector<QueueEntry> &expired);
+    [[nodiscard]] std::optional<RequestId> pop(TimePoint now, std::vector<QueueEntry> &expired);
     void remove(const RequestId &request);
     void slotFreed(Duration ran, std::uint32_t slots, TimePoint now) noexcept
     {
         m_queue.slotFreed(ran, slots, now);
     }
 
-    [[nodiscard]] std::size_t size() const noexcept { return m_queue.size() + m_adopted.size(); }
+    [[nodiscard]] std::size_t size() const noexcept { return m_queue.size() + m_moved.size(); }
     [[nodiscard]] Duration comeBackAfter(Random &random) const
     {
         return m_queue.retryAfter(random);
     }
 
 private:
-    struct Adopted
+    struct MovedRequest
     {
         RequestId request;
         RequestClass requestClass = RequestClass::Normal;
         bool ready = false;
     };
 
-    [[nodiscard]] std::optional<RequestId> takeAdopted();
+    [[nodiscard]] std::optional<RequestId> popMoved();
 
     AdmissionQueue m_queue;
-    std::vector<Adopted> m_adopted;
+    std::vector<MovedRequest> m_moved;
 };
 
 } // namespace baobabtrail
