--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -48,7 +48,7 @@
     advance(turn);
 }
 
-bool Dispatcher::startsAtOnce(TargetId target, TimePoint now) const
+bool Dispatcher::hasFreeSlot(TargetId target, TimePoint now) const
 {
     // The load counts reservations too: a slot that one of them will take in a moment isn't free.
     return m_context.targets.slotFree(target, now)
@@ -73,16 +73,16 @@
     return refusal;
 }
 
-void Dispatcher::requestCame(RequestRecord &record, std::string payload, Turn &turn)
+void Dispatcher::requestArrived(RequestRecord &record, std::string payload, Turn &turn)
 {
     m_table.enter(record, QueuedState{std::move(payload)}, record.token.deadline);
     const TargetId target = record.target;
     const RequestId id = record.id;
     m_lines[target].waiting.setReady(id);
-    pump(target, turn);
+    dispatchQueued(target, turn);
     const RequestRecord *waiting = m_table.find(id);
     if (waiting && waiting->waits())
-        pumpOthers(target, turn);
+        dispatchOnIdleTargets(target, turn);
 }
 
 void Dispatcher::leave(const RequestRecord &record)
@@ -94,7 +94,7 @@
     publishWaiting(record.target, found->second);
 }
 
-void Dispatcher::pump(TargetId target, Turn &turn)
+void Dispatcher::dispatchQueued(TargetId target, Turn &turn)
 {
     const auto found = m_lines.find(target);
     if (found == m_lines.end())
@@ -147,12 +147,12 @@
     }
 }
 
-void Dispatcher::pumpOthers(TargetId target, Turn &turn)
+void Dispatcher::dispatchOnIdleTargets(TargetId target, Turn &turn)
 {
     const ServiceId service = m_lines[target].service;
     for (auto &[other, line] : m_lines) {
         if (other != target && line.service == service && line.waiting.size() == 0)
-            pump(other, turn);
+            dispatchQueued(other, turn);
     }
 }
 
@@ -252,7 +252,7 @@
     }
     endAttempt(*record, AttemptEnd::Done, &done.load, turn);
     m_outcomes.answered(*record, std::move(done.payload), turn);
-    pump(target, turn);
+    dispatchQueued(target, turn);
 }
 
 void Dispatcher::attemptNotRun(TargetId target, const AttemptNotRun &report, Turn &turn)
@@ -268,7 +268,7 @@
         m_outcomes.notRun(*record, RefusalCause::Cancelled, Duration{0}, turn);
     else if (!retry(*record, turn))
         m_outcomes.notRun(*record, report.cause, m_context.spread(DefaultComeBack), turn);
-    pump(target, turn);
+    dispatchQueued(target, turn);
 }
 
 void Dispatcher::linkBroken(TargetId target, Turn &turn)
@@ -324,7 +324,7 @@
     record.target = target;
     m_table.enter(record, std::move(state), ready ? record.token.deadline : record.dueAt);
     m_lines[target].waiting.addMoved(entryOf(record), ready);
-    pump(target, turn);
+    dispatchQueued(target, turn);
 }
 
 void Dispatcher::cancelAttempt(RequestRecord &record, Turn &turn)
@@ -340,7 +340,7 @@
     cancelAttempt(record, turn);
     endAttempt(record, AttemptEnd::TimedOut, nullptr, turn);
     m_outcomes.unknown(record, UnknownCause::DeadlinePassed, turn);
-    pump(target, turn);
+    dispatchQueued(target, turn);
 }
 
 void Dispatcher::advance(Turn &turn)
@@ -361,7 +361,7 @@
         vacate(target, turn);
     for (const auto &[target, line] : m_lines) {
         if (line.waiting.size() > 0)
-            pump(target, turn);
+            dispatchQueued(target, turn);
     }
 }
 
--- a/src/core/requests/dispatcher.h
+++ b/src/core/requests/dispatcher.h
@@ -21,12 +21,12 @@
     void configure(Turn &turn);
 
     /// \return Whether a request that is reserved now would find a free slot.
-    [[nodiscard]] bool startsAtOnce(TargetId target, TimePoint now) const;
+    [[nodiscard]] bool hasFreeSlot(TargetId target, TimePoint now) const;
     /// \brief Takes a place at a target for a request that is not in the table yet.
     [[nodiscard]] std::optional<QueueRefusal> admit(TargetId target, const QueueEntry &entry,
                                                     Turn &turn);
     /// \brief The request itself has come.
-    void requestCame(RequestRecord &record, std::string payload, Turn &turn);
+    void requestArrived(RequestRecord &record, std::string payload, Turn &turn);
     /// \brief Frees the place of a request that waits.
     void leave(const RequestRecord &record);
     /// \brief Tells the target that an attempt is not wanted any more.
@@ -40,7 +40,7 @@
     /// \brief The target was cut: ends what runs on it, moves what waits for it.
     void targetCut(TargetId target, Turn &turn);
     /// \brief Starts what may start now.
-    void pump(TargetId target, Turn &turn);
+    void dispatchQueued(TargetId target, Turn &turn);
 
     /// \brief Moves requests away from targets that have not taken work for a while.
     void advance(Turn &turn);
@@ -62,7 +62,7 @@
 
     [[nodiscard]] RequestRecord *takeNext(Line &line, Turn &turn);
     void takeFromOthers(TargetId target, Line &line, Turn &turn);
-    void pumpOthers(TargetId target, Turn &turn);
+    void dispatchOnIdleTargets(TargetId target, Turn &turn);
     [[nodiscard]] bool mayStart(TargetId target, const Line &line, TimePoint now) const noexcept;
     /// \return How long a run takes, as the target's last ones did, or the service's others.
     [[nodiscard]] Duration usualRun(const Line &line) const noexcept;
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -55,7 +55,7 @@
     std::vector<TargetId> queues;
     const auto offerSlot = [&](const Handoff &offered, TargetId target) {
         queues.push_back(target);
-        return m_dispatcher.startsAtOnce(target, turn.now)
+        return m_dispatcher.hasFreeSlot(target, turn.now)
                && offer(offered, target, comeBackAfter, turn);
     };
     if (forwarded && m_context.targets.owns(ask.target)) {
@@ -239,7 +239,7 @@
 void RequestOwner::handle(RequestRecord &record, RequestData message, Turn &turn)
 {
     if (std::holds_alternative<ReservedState>(record.state))
-        return m_dispatcher.requestCame(record, std::move(message.payload), turn);
+        return m_dispatcher.requestArrived(record, std::move(message.payload), turn);
     if (!record.inProgress())
         m_outcomes.repeat(record, turn);
 }
@@ -277,7 +277,7 @@
     const bool late = record.token.deadline <= turn.now;
     const RefusalCause cause = late ? RefusalCause::DeadlinePassed : RefusalCause::Cancelled;
     m_outcomes.notRun(record, cause, Duration{0}, turn);
-    m_dispatcher.pump(target, turn);
+    m_dispatcher.dispatchQueued(target, turn);
 }
 
 std::optional<TimePoint> RequestOwner::nextTimer() const noexcept
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -130,7 +130,7 @@
     Dispatcher &dispatcher = m_requests.dispatcher();
     if (const LinkHelloReply *reply = std::get_if<LinkHelloReply>(&event.message)) {
         if (m_links.helloReply(event.target, *reply, turn))
-            dispatcher.pump(event.target, turn);
+            dispatcher.dispatchQueued(event.target, turn);
     } else if (AttemptDone *done = std::get_if<AttemptDone>(&event.message)) {
         dispatcher.attemptDone(event.target, std::move(*done), turn);
     } else if (const AttemptNotRun *notRun = std::get_if<AttemptNotRun>(&event.message)) {
