--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// How long requests wait on for a target that stopped taking work, for it may come back.
-constexpr Duration ShutGrace = 2s;
+constexpr Duration UnavailableGrace = 2s;
 /// Most attempts at one request, whatever the budget allows.
 constexpr std::uint32_t MaxAttempts = 3;
-constexpr int RunsRemembered = 8;
-constexpr int RefusalsToForget = 64;
+constexpr int RunTimeSamples = 8;
+constexpr int RunTimeDecayRefusals = 64;
 /// Runs of others that a request is taken to wait for at its target. One is what a change of owner
 /// brings; a target that always reports many must not be without work for ever.
-constexpr std::uint32_t MostWaitsBelieved = 1;
+constexpr std::uint32_t MaxExpectedWaits = 1;
 
 } // namespace
 
@@ -33,16 +33,16 @@
 {
     for (const auto &[serviceId, service] : m_context.config->services) {
         for (const auto &[id, target] : service.targets) {
-            if (!m_context.targets.owns(id) && !m_lines.contains(id))
+            if (!m_context.targets.owns(id) && !m_work.contains(id))
                 continue;
-            Line &line = m_lines[id];
-            line.service = serviceId;
-            line.slots = std::max<std::uint32_t>(1, target.slots);
-            line.waiting.configure(std::size_t{line.slots} * service.limits.queuePerSlot,
-                                   service.workspace, service.limits.workspaceShare);
+            TargetWork &work = m_work[id];
+            work.service = serviceId;
+            work.slots = std::max<std::uint32_t>(1, target.slots);
+            work.queue.configure(std::size_t{work.slots} * service.limits.queuePerSlot,
+                                 service.workspace, service.limits.workspaceShare);
         }
     }
-    std::erase_if(m_lines, [&](const auto &item) {
+    std::erase_if(m_work, [&](const auto &item) {
         return !m_context.targets.owns(item.first) && !inUse(item.first);
     });
     advance(turn);
@@ -57,19 +57,19 @@
 
 std::optional<QueueRefusal> Dispatcher::admit(TargetId target, const QueueEntry &entry, Turn &turn)
 {
-    const auto found = m_lines.find(target);
-    if (found == m_lines.end() || !m_context.targets.takesWork(target, turn.now))
+    const auto found = m_work.find(target);
+    if (found == m_work.end() || !m_context.targets.takesWork(target, turn.now))
         return QueueRefusal{RefusalCause::NoTarget, m_context.spread(DefaultComeBack)};
-    Line &line = found->second;
+    TargetWork &work = found->second;
     std::optional<QueueEntry> displaced;
     const std::optional<QueueRefusal> refusal
-        = line.waiting.admit(entry, turn.now, m_context.random, displaced);
+        = work.queue.admit(entry, turn.now, m_context.random, displaced);
     RequestRecord *out = displaced ? m_table.find(displaced->request) : nullptr;
     if (out) {
-        m_outcomes.notRun(*out, RefusalCause::Overload,
-                          line.waiting.comeBackAfter(m_context.random), turn);
+        m_outcomes.notRun(*out, RefusalCause::Overload, work.queue.comeBackAfter(m_context.random),
+                          turn);
     }
-    publishWaiting(target, line);
+    publishQueueLength(target, work);
     return refusal;
 }
 
@@ -78,44 +78,44 @@
     m_table.enter(record, QueuedState{std::move(payload)}, record.token.deadline);
     const TargetId target = record.target;
     const RequestId id = record.id;
-    m_lines[target].waiting.setReady(id);
+    m_work[target].queue.setReady(id);
     dispatchQueued(target, turn);
     const RequestRecord *waiting = m_table.find(id);
     if (waiting && waiting->waits())
         dispatchOnIdleTargets(target, turn);
 }
 
-void Dispatcher::leave(const RequestRecord &record)
+void Dispatcher::removeFromQueue(const RequestRecord &record)
 {
-    const auto found = m_lines.find(record.target);
-    if (found == m_lines.end())
+    const auto found = m_work.find(record.target);
+    if (found == m_work.end())
         return;
-    found->second.waiting.remove(record.id);
-    publishWaiting(record.target, found->second);
+    found->second.queue.remove(record.id);
+    publishQueueLength(record.target, found->second);
 }
 
 void Dispatcher::dispatchQueued(TargetId target, Turn &turn)
 {
-    const auto found = m_lines.find(target);
-    if (found == m_lines.end())
+    const auto found = m_work.find(target);
+    if (found == m_work.end())
         return;
-    Line &line = found->second;
-    while (line.waiting.size() > 0 && mayStart(target, line, turn.now)) {
-        RequestRecord *record = takeNext(line, turn);
+    TargetWork &work = found->second;
+    while (work.queue.size() > 0 && mayStart(target, work, turn.now)) {
+        RequestRecord *record = popNext(work, turn);
         if (!record)
             break;
-        dispatch(*record, line, turn);
+        dispatch(*record, work, turn);
     }
-    publishWaiting(target, line);
-    if (!leaving(target))
-        takeFromOthers(target, line, turn);
+    publishQueueLength(target, work);
+    if (!takesNoNewWork(target))
+        stealFromOthers(target, work, turn);
 }
 
-RequestRecord *Dispatcher::takeNext(Line &line, Turn &turn)
+RequestRecord *Dispatcher::popNext(TargetWork &work, Turn &turn)
 {
     for (;;) {
         std::vector<QueueEntry> expired;
-        const std::optional<RequestId> next = line.waiting.pop(turn.now, expired);
+        const std::optional<RequestId> next = work.queue.pop(turn.now, expired);
         for (const QueueEntry &late : expired) {
             RequestRecord *record = m_table.find(late.request);
             if (record && record->waits())
@@ -131,52 +131,52 @@
 
 // A queue of one target can be long while another target of the same owner idles: callers would
 // wait for a slot that is free next door.
-void Dispatcher::takeFromOthers(TargetId target, Line &line, Turn &turn)
+void Dispatcher::stealFromOthers(TargetId target, TargetWork &work, Turn &turn)
 {
-    for (auto &[other, busy] : m_lines) {
-        if (other == target || busy.service != line.service)
+    for (auto &[other, busy] : m_work) {
+        if (other == target || busy.service != work.service)
             continue;
-        while (busy.waiting.size() > 0 && mayStart(target, line, turn.now)) {
-            RequestRecord *record = takeNext(busy, turn);
+        while (busy.queue.size() > 0 && mayStart(target, work, turn.now)) {
+            RequestRecord *record = popNext(busy, turn);
             if (!record)
                 break;
             record->target = target;
-            dispatch(*record, line, turn);
+            dispatch(*record, work, turn);
         }
-        publishWaiting(other, busy);
+        publishQueueLength(other, busy);
     }
 }
 
 void Dispatcher::dispatchOnIdleTargets(TargetId target, Turn &turn)
 {
-    const ServiceId service = m_lines[target].service;
-    for (auto &[other, line] : m_lines) {
-        if (other != target && line.service == service && line.waiting.size() == 0)
+    const ServiceId service = m_work[target].service;
+    for (auto &[other, work] : m_work) {
+        if (other != target && work.service == service && work.queue.size() == 0)
             dispatchQueued(other, turn);
     }
 }
 
-bool Dispatcher::mayStart(TargetId target, const Line &line, TimePoint now) const noexcept
+bool Dispatcher::mayStart(TargetId target, const TargetWork &work, TimePoint now) const noexcept
 {
     if (!m_links.usable(target))
         return false;
     // What was reserved before a target began to drain, or passed to another owner, still runs on
     // it; the table counts only targets that take work.
-    if (leaving(target))
-        return line.running < line.slots;
+    if (takesNoNewWork(target))
+        return work.running < work.slots;
     return m_context.targets.slotFree(target, now);
 }
 
 // A target that has shed everything so far has no run of its own to go by. Taken for one that needs
 // no time, it was given requests that ended as unknown where "not run" could still be said.
-Duration Dispatcher::usualRun(const Line &line) const noexcept
+Duration Dispatcher::expectedRunTime(const TargetWork &work) const noexcept
 {
-    if (line.usualRun > Duration{0})
-        return line.usualRun;
+    if (work.meanRunTime > Duration{0})
+        return work.meanRunTime;
     Duration longest{0};
-    for (const auto &[target, other] : m_lines) {
-        if (other.service == line.service)
-            longest = std::max(longest, other.usualRun);
+    for (const auto &[target, other] : m_work) {
+        if (other.service == work.service)
+            longest = std::max(longest, other.meanRunTime);
     }
     return longest;
 }
@@ -185,22 +185,23 @@
 // knows; what is sent then waits behind the other's work. Without that wait, requests were sent
 // with less time left than they needed and ended as unknown. The target's own report shows the
 // others.
-Duration Dispatcher::timeNeeded(const Line &line) const noexcept
+Duration Dispatcher::expectedResponseTime(const TargetWork &work) const noexcept
 {
-    const std::uint32_t ahead = line.foreign > 0 ? line.foreign + line.running : 0;
-    const std::uint32_t waits = std::min(ahead / line.slots, MostWaitsBelieved);
-    return usualRun(line) * (1 + waits);
+    const std::uint32_t ahead
+        = work.workOfOtherOwners > 0 ? work.workOfOtherOwners + work.running : 0;
+    const std::uint32_t waits = std::min(ahead / work.slots, MaxExpectedWaits);
+    return expectedRunTime(work) * (1 + waits);
 }
 
-void Dispatcher::dispatch(RequestRecord &record, Line &line, Turn &turn)
+void Dispatcher::dispatch(RequestRecord &record, TargetWork &work, Turn &turn)
 {
     const Duration timeLeft = record.token.deadline - turn.now;
     // The owner may have been paused since the request came: its caller has given up. One that
     // can't run to its end in time would end as unknown, where "not run" can still be said.
-    if (timeLeft <= timeNeeded(line)) {
+    if (timeLeft <= expectedResponseTime(work)) {
         // Nothing is learnt from what isn't started: a target that was slow once would be refused
         // for ever.
-        line.usualRun -= line.usualRun / RefusalsToForget;
+        work.meanRunTime -= work.meanRunTime / RunTimeDecayRefusals;
         return m_outcomes.notRun(record, RefusalCause::DeadlinePassed, Duration{0}, turn);
     }
     const AttemptId attempt{m_nextAttempt++};
@@ -216,7 +217,7 @@
     m_table.bindAttempt(attempt, record.id);
     m_table.enter(record, RunningState{attempt, generation, turn.now, std::move(payload), false},
                   record.token.deadline);
-    ++line.running;
+    ++work.running;
     m_context.targets.attemptStarted(record.target, turn.now);
 }
 
@@ -227,18 +228,18 @@
     const Duration ran = turn.now - running.since;
     m_table.dropAttempt(running.attempt);
     m_context.targets.attemptEnded(record.target, end, ran, load, turn.now);
-    Line &line = m_lines[record.target];
-    line.running -= line.running > 0 ? 1 : 0;
+    TargetWork &work = m_work[record.target];
+    work.running -= work.running > 0 ? 1 : 0;
     if (load) {
         const std::uint32_t all = load->running + load->queued;
-        line.foreign = all > line.running ? all - line.running : 0;
+        work.workOfOtherOwners = all > work.running ? all - work.running : 0;
     }
     if (end != AttemptEnd::Done)
         return;
-    if (line.usualRun == Duration{0})
-        line.usualRun = ran;
-    line.usualRun += (ran - line.usualRun) / RunsRemembered;
-    line.waiting.slotFreed(ran, line.slots, turn.now);
+    if (work.meanRunTime == Duration{0})
+        work.meanRunTime = ran;
+    work.meanRunTime += (ran - work.meanRunTime) / RunTimeSamples;
+    work.queue.slotFreed(ran, work.slots, turn.now);
 }
 
 void Dispatcher::attemptDone(TargetId target, AttemptDone done, Turn &turn)
@@ -289,7 +290,7 @@
 void Dispatcher::targetCut(TargetId target, Turn &turn)
 {
     linkBroken(target, turn);
-    vacate(target, turn);
+    drainQueue(target, turn);
 }
 
 bool Dispatcher::retry(RequestRecord &record, Turn &turn)
@@ -297,13 +298,13 @@
     if (record.attempts >= MaxAttempts || record.token.deadline <= turn.now)
         return false;
     std::optional<TargetId> target = anotherTarget(record, turn);
-    if (!target && mayStart(record.target, m_lines[record.target], turn.now)
+    if (!target && mayStart(record.target, m_work[record.target], turn.now)
         && m_context.targets.takesWork(record.target, turn.now))
         target = record.target;
     if (!target || !budget(record).spend())
         return false;
     std::string payload = std::move(std::get<RunningState>(record.state).payload);
-    place(record, *target, QueuedState{std::move(payload)}, turn);
+    moveTo(record, *target, QueuedState{std::move(payload)}, turn);
     return true;
 }
 
@@ -318,12 +319,12 @@
     return choice->target;
 }
 
-void Dispatcher::place(RequestRecord &record, TargetId target, RequestState state, Turn &turn)
+void Dispatcher::moveTo(RequestRecord &record, TargetId target, RequestState state, Turn &turn)
 {
     const bool ready = std::holds_alternative<QueuedState>(state);
     record.target = target;
     m_table.enter(record, std::move(state), ready ? record.token.deadline : record.dueAt);
-    m_lines[target].waiting.addMoved(entryOf(record), ready);
+    m_work[target].queue.addMoved(entryOf(record), ready);
     dispatchQueued(target, turn);
 }
 
@@ -345,38 +346,38 @@
 
 void Dispatcher::advance(Turn &turn)
 {
-    std::vector<TargetId> shut;
-    for (auto &[target, line] : m_lines) {
+    std::vector<TargetId> unavailable;
+    for (auto &[target, work] : m_work) {
         const bool open = m_links.usable(target) && m_context.targets.takesWork(target, turn.now);
-        if (open || line.waiting.size() == 0) {
-            line.shutSince.reset();
+        if (open || work.queue.size() == 0) {
+            work.unavailableSince.reset();
             continue;
         }
-        if (!line.shutSince)
-            line.shutSince = turn.now;
-        if (turn.now >= *line.shutSince + ShutGrace)
-            shut.push_back(target);
+        if (!work.unavailableSince)
+            work.unavailableSince = turn.now;
+        if (turn.now >= *work.unavailableSince + UnavailableGrace)
+            unavailable.push_back(target);
     }
-    for (const TargetId target : shut)
-        vacate(target, turn);
-    for (const auto &[target, line] : m_lines) {
-        if (line.waiting.size() > 0)
+    for (const TargetId target : unavailable)
+        drainQueue(target, turn);
+    for (const auto &[target, work] : m_work) {
+        if (work.queue.size() > 0)
             dispatchQueued(target, turn);
     }
 }
 
 // A request that waits its turn at a draining target would start there long after the drain; one
 // that waits at a dead target would be refused only at its deadline.
-void Dispatcher::vacate(TargetId target, Turn &turn)
+void Dispatcher::drainQueue(TargetId target, Turn &turn)
 {
     for (const RequestId &id : m_table.ofTarget(target)) {
         RequestRecord &record = *m_table.find(id);
         if (!record.waits())
             continue;
-        leave(record);
+        removeFromQueue(record);
         const std::optional<TargetId> other = anotherTarget(record, turn);
         if (other)
-            place(record, *other, std::move(record.state), turn);
+            moveTo(record, *other, std::move(record.state), turn);
         else
             m_outcomes.notRun(record, RefusalCause::NoTarget, m_context.spread(DefaultComeBack),
                               turn);
@@ -386,29 +387,28 @@
 std::optional<TimePoint> Dispatcher::nextTimer() const noexcept
 {
     std::optional<TimePoint> next;
-    for (const auto &[target, line] : m_lines) {
-        if (line.shutSince)
-            next = earlier(next, *line.shutSince + ShutGrace);
+    for (const auto &[target, work] : m_work) {
+        if (work.unavailableSince)
+            next = earlier(next, *work.unavailableSince + UnavailableGrace);
     }
     return next;
 }
 
 bool Dispatcher::inUse(TargetId target) const noexcept
 {
-    const auto found = m_lines.find(target);
-    return found != m_lines.end()
-           && (found->second.running > 0 || found->second.waiting.size() > 0);
+    const auto found = m_work.find(target);
+    return found != m_work.end() && (found->second.running > 0 || found->second.queue.size() > 0);
 }
 
-bool Dispatcher::leaving(TargetId target) const noexcept
+bool Dispatcher::takesNoNewWork(TargetId target) const noexcept
 {
     const TargetConfig *config = m_context.target(target);
     return !m_context.targets.owns(target) || !config || !config->takesWork();
 }
 
-void Dispatcher::publishWaiting(TargetId target, const Line &line) noexcept
+void Dispatcher::publishQueueLength(TargetId target, const TargetWork &work) noexcept
 {
-    m_context.targets.setWaiting(target, static_cast<std::uint32_t>(line.waiting.size()));
+    m_context.targets.setWaiting(target, static_cast<std::uint32_t>(work.queue.size()));
 }
 
 RetryBudget &Dispatcher::budget(const RequestRecord &record)
--- a/src/core/requests/dispatcher.h
+++ b/src/core/requests/dispatcher.h
@@ -28,7 +28,7 @@
     /// \brief The request itself has come.
     void requestArrived(RequestRecord &record, std::string payload, Turn &turn);
     /// \brief Frees the place of a request that waits.
-    void leave(const RequestRecord &record);
+    void removeFromQueue(const RequestRecord &record);
     /// \brief Tells the target that an attempt is not wanted any more.
     void cancelAttempt(RequestRecord &record, Turn &turn);
     /// \brief The deadline passed while it ran.
@@ -49,34 +49,35 @@
     [[nodiscard]] bool inUse(TargetId target) const noexcept;
 
 private:
-    struct Line
+    struct TargetWork
     {
         ServiceId service;
-        TargetQueue waiting;
+        TargetQueue queue;
         std::uint32_t running = 0;
         std::uint32_t slots = 1;
-        std::uint32_t foreign = 0;          ///< Work of others at the target, by its last report.
-        Duration usualRun{0};               ///< Mean time of the last attempts.
-        std::optional<TimePoint> shutSince; ///< Takes no new work since then.
+        std::uint32_t workOfOtherOwners = 0; ///< Work of others at the target, by its last report.
+        Duration meanRunTime{0};             ///< Mean time of the last attempts.
+        std::optional<TimePoint> unavailableSince; ///< Takes no new work since then.
     };
 
-    [[nodiscard]] RequestRecord *takeNext(Line &line, Turn &turn);
-    void takeFromOthers(TargetId target, Line &line, Turn &turn);
+    [[nodiscard]] RequestRecord *popNext(TargetWork &work, Turn &turn);
+    void stealFromOthers(TargetId target, TargetWork &work, Turn &turn);
     void dispatchOnIdleTargets(TargetId target, Turn &turn);
-    [[nodiscard]] bool mayStart(TargetId target, const Line &line, TimePoint now) const noexcept;
+    [[nodiscard]] bool mayStart(TargetId target, const TargetWork &work,
+                                TimePoint now) const noexcept;
     /// \return How long a run takes, as the target's last ones did, or the service's others.
-    [[nodiscard]] Duration usualRun(const Line &line) const noexcept;
+    [[nodiscard]] Duration expectedRunTime(const TargetWork &work) const noexcept;
     /// \return How long a request takes that is sent to the target now, its wait there included.
-    [[nodiscard]] Duration timeNeeded(const Line &line) const noexcept;
-    [[nodiscard]] bool leaving(TargetId target) const noexcept;
-    void dispatch(RequestRecord &record, Line &line, Turn &turn);
+    [[nodiscard]] Duration expectedResponseTime(const TargetWork &work) const noexcept;
+    [[nodiscard]] bool takesNoNewWork(TargetId target) const noexcept;
+    void dispatch(RequestRecord &record, TargetWork &work, Turn &turn);
     void endAttempt(RequestRecord &record, AttemptEnd end, const LoadReport *load, Turn &turn);
     /// \return Whether the request waits at a target again.
     [[nodiscard]] bool retry(RequestRecord &record, Turn &turn);
     [[nodiscard]] std::optional<TargetId> anotherTarget(const RequestRecord &record, Turn &turn);
-    void place(RequestRecord &record, TargetId target, RequestState state, Turn &turn);
-    void vacate(TargetId target, Turn &turn);
-    void publishWaiting(TargetId target, const Line &line) noexcept;
+    void moveTo(RequestRecord &record, TargetId target, RequestState state, Turn &turn);
+    void drainQueue(TargetId target, Turn &turn);
+    void publishQueueLength(TargetId target, const TargetWork &work) noexcept;
     [[nodiscard]] RetryBudget &budget(const RequestRecord &record);
     [[nodiscard]] QueueEntry entryOf(const RequestRecord &record) const;
 
@@ -84,7 +85,7 @@
     RequestTable &m_table;
     Outcomes &m_outcomes;
     TargetLinks &m_links;
-    std::map<TargetId, Line> m_lines;
+    std::map<TargetId, TargetWork> m_work;
     std::map<std::string, RetryBudget> m_budgets;
     std::uint64_t m_nextAttempt;
 };
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -247,7 +247,7 @@
 void RequestOwner::handle(RequestRecord &record, const CancelRequest &, Turn &turn)
 {
     if (record.waits()) {
-        m_dispatcher.leave(record);
+        m_dispatcher.removeFromQueue(record);
         const bool hasCome = std::holds_alternative<QueuedState>(record.state);
         m_outcomes.notRun(record, RefusalCause::Cancelled, Duration{0}, turn);
         if (hasCome)
@@ -273,7 +273,7 @@
         return;
     }
     const TargetId target = record.target;
-    m_dispatcher.leave(record);
+    m_dispatcher.removeFromQueue(record);
     const bool late = record.token.deadline <= turn.now;
     const RefusalCause cause = late ? RefusalCause::DeadlinePassed : RefusalCause::Cancelled;
     m_outcomes.notRun(record, cause, Duration{0}, turn);
