--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -46,20 +46,20 @@
 
 void RequestOwner::reserve(Handoff ask, bool forwarded, Turn &turn)
 {
-    if (answerRepeated(ask, turn))
+    if (answerDuplicate(ask, turn))
         return;
     const Reserve reserve = reserveOf(ask);
     if (reserve.timeLeft <= Duration{0})
         return refuse(ask, RefusalCause::DeadlinePassed, Duration{0}, turn);
     Duration comeBackAfter = m_context.spread(DefaultComeBack);
     std::vector<TargetId> queues;
-    const auto offerSlot = [&](const Handoff &offered, TargetId target) {
+    const auto offerFreeSlot = [&](const Handoff &offered, TargetId target) {
         queues.push_back(target);
         return m_dispatcher.hasFreeSlot(target, turn.now)
                && offer(offered, target, comeBackAfter, turn);
     };
     if (forwarded && m_context.targets.owns(ask.target)) {
-        if (offerSlot(ask, ask.target))
+        if (offerFreeSlot(ask, ask.target))
             return;
         ask.hints.push_back(declinedLoad(m_context, ask.target, turn.now));
     }
@@ -68,7 +68,7 @@
                                                                         reserve.request, declined,
                                                                         turn.now, m_context.random);
                           },
-                          offerSlot};
+                          offerFreeSlot};
     if (placeAsk(m_context, turn, ask, forwarded, placing))
         return;
     // Without a free slot anywhere the ask waits where it is; each target tried was less loaded
@@ -86,7 +86,7 @@
         return;
     if (!m_context.knows(reserve.service))
         return refuse(ask, RefusalCause::UnknownService, comeBackAfter, turn);
-    const std::optional<RefusalCause> bound = refusalByBounds(reserve);
+    const std::optional<RefusalCause> bound = refusalByLimits(reserve);
     if (bound)
         return refuse(ask, *bound, comeBackAfter, turn);
     refuse(ask, ask.hints.empty() ? RefusalCause::NoTarget : RefusalCause::Overload, comeBackAfter,
@@ -96,7 +96,7 @@
 // The caller may reserve again while its first reservation is on its way. With the same place it
 // can't hold two, whichever answer it takes; one that ended stays ended, as a copy of its request
 // that is still on its way would start the new one.
-bool RequestOwner::answerRepeated(const Handoff &ask, Turn &turn)
+bool RequestOwner::answerDuplicate(const Handoff &ask, Turn &turn)
 {
     const Reserve &reserve = reserveOf(ask);
     RequestRecord *record = m_table.find(reserve.request);
@@ -116,7 +116,7 @@
     const ServiceConfig *service = m_context.config->service(reserve.service);
     if (!service || !service->targets.contains(target) || m_context.stopping)
         return false;
-    if (refusalByBounds(reserve))
+    if (refusalByLimits(reserve))
         return false;
 
     RequestRecord record;
@@ -151,7 +151,7 @@
     return true;
 }
 
-std::optional<RefusalCause> RequestOwner::refusalByBounds(const Reserve &reserve) const
+std::optional<RefusalCause> RequestOwner::refusalByLimits(const Reserve &reserve) const
 {
     // What runs is never forgotten, so that the only way to stay within the bound is to take no
     // more.
@@ -183,7 +183,7 @@
         return;
     }
     if (token.owner == m_context.identity.daemon)
-        return own(caller, std::move(message), turn);
+        return handleOwned(caller, std::move(message), turn);
     // The view may be wrong: then the owner runs the request all the same, once, and the caller has
     // been told no more than that nobody knows.
     if (m_context.isGone(token.owner, token.incarnation)) {
@@ -210,13 +210,13 @@
                                                   body.request, UnknownCause::OwnerGone}});
                 return;
             }
-            own(message.caller, std::forward<decltype(body)>(body), turn);
+            handleOwned(message.caller, std::forward<decltype(body)>(body), turn);
         },
         std::move(message.body));
 }
 
 template <typename Message>
-void RequestOwner::own(const Endpoint &caller, Message message, Turn &turn)
+void RequestOwner::handleOwned(const Endpoint &caller, Message message, Turn &turn)
 {
     const ReservationToken &token = message.token;
     const RequestId request = message.request;
--- a/src/core/requests/request_owner.h
+++ b/src/core/requests/request_owner.h
@@ -32,14 +32,14 @@
     void reserve(Handoff ask, bool forwarded, Turn &turn);
     [[nodiscard]] bool offer(const Handoff &ask, TargetId target, Duration &comeBackAfter,
                              Turn &turn);
-    [[nodiscard]] bool answerRepeated(const Handoff &ask, Turn &turn);
-    [[nodiscard]] std::optional<RefusalCause> refusalByBounds(const Reserve &reserve) const;
+    [[nodiscard]] bool answerDuplicate(const Handoff &ask, Turn &turn);
+    [[nodiscard]] std::optional<RefusalCause> refusalByLimits(const Reserve &reserve) const;
     void refuse(const Handoff &ask, RefusalCause cause, Duration comeBackAfter, Turn &turn);
 
     template <typename Message>
     void route(const Endpoint &caller, Message message, Turn &turn);
     template <typename Message>
-    void own(const Endpoint &caller, Message message, Turn &turn);
+    void handleOwned(const Endpoint &caller, Message message, Turn &turn);
     void handle(RequestRecord &record, RequestData message, Turn &turn);
     void handle(RequestRecord &record, const CancelRequest &message, Turn &turn);
 
