--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -75,7 +75,7 @@
 
 void Dispatcher::requestArrived(RequestRecord &record, std::string payload, Turn &turn)
 {
-    m_table.enter(record, QueuedState{std::move(payload)}, record.token.deadline);
+    m_table.setState(record, QueuedState{std::move(payload)}, record.token.deadline);
     const TargetId target = record.target;
     const RequestId id = record.id;
     m_work[target].queue.setReady(id);
@@ -215,8 +215,8 @@
         budget(record).firstAttempt();
     }
     m_table.bindAttempt(attempt, record.id);
-    m_table.enter(record, RunningState{attempt, generation, turn.now, std::move(payload), false},
-                  record.token.deadline);
+    m_table.setState(record, RunningState{attempt, generation, turn.now, std::move(payload), false},
+                     record.token.deadline);
     ++work.running;
     m_context.targets.attemptStarted(record.target, turn.now);
 }
@@ -323,7 +323,7 @@
 {
     const bool ready = std::holds_alternative<QueuedState>(state);
     record.target = target;
-    m_table.enter(record, std::move(state), ready ? record.token.deadline : record.dueAt);
+    m_table.setState(record, std::move(state), ready ? record.token.deadline : record.dueAt);
     m_work[target].queue.addMoved(entryOf(record), ready);
     dispatchQueued(target, turn);
 }
--- a/src/core/requests/outcomes.cpp
+++ b/src/core/requests/outcomes.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// How long an outcome is kept behind the deadline, for a caller whose last message crossed it.
-constexpr Duration OutcomeGrace = 1s;
+constexpr Duration OutcomeRetention = 1s;
 
 } // namespace
 
@@ -16,7 +16,7 @@
 {
     sendAnswer(record, payload, turn);
     observe(record, RequestOutcome::Answered, {}, turn);
-    m_table.enter(record, AnsweredState{std::move(payload)}, keptUntil(record, turn.now));
+    m_table.setState(record, AnsweredState{std::move(payload)}, retainedUntil(record, turn.now));
 }
 
 void Outcomes::notRun(RequestRecord &record, RefusalCause cause, Duration comeBackAfter, Turn &turn)
@@ -32,7 +32,7 @@
         turn.toCaller(record.caller, RequestMessage{reply});
         observe(record, RequestOutcome::NotRun, cause, turn);
     }
-    m_table.enter(record, NotRunState{reply}, keptUntil(record, turn.now));
+    m_table.setState(record, NotRunState{reply}, retainedUntil(record, turn.now));
 }
 
 void Outcomes::unknown(RequestRecord &record, UnknownCause cause, Turn &turn)
@@ -40,10 +40,10 @@
     const OutcomeUnknown reply{record.id, cause};
     turn.toCaller(record.caller, RequestMessage{reply});
     observe(record, RequestOutcome::Unknown, {}, turn);
-    m_table.enter(record, UnknownState{reply}, keptUntil(record, turn.now));
+    m_table.setState(record, UnknownState{reply}, retainedUntil(record, turn.now));
 }
 
-void Outcomes::repeat(RequestRecord &record, Turn &turn)
+void Outcomes::resend(RequestRecord &record, Turn &turn)
 {
     if (const NotRunState *notRun = std::get_if<NotRunState>(&record.state))
         return turn.toCaller(record.caller, RequestMessage{notRun->reply});
@@ -79,9 +79,9 @@
                                  left - record.reservedAt, turn.now - record.reservedAt});
 }
 
-TimePoint Outcomes::keptUntil(const RequestRecord &record, TimePoint now) noexcept
+TimePoint Outcomes::retainedUntil(const RequestRecord &record, TimePoint now) noexcept
 {
-    return std::max(record.token.deadline, now) + OutcomeGrace;
+    return std::max(record.token.deadline, now) + OutcomeRetention;
 }
 
 } // namespace baobabtrail
--- a/src/core/requests/outcomes.h
+++ b/src/core/requests/outcomes.h
@@ -21,13 +21,14 @@
     void notRun(RequestRecord &record, RefusalCause cause, Duration comeBackAfter, Turn &turn);
     void unknown(RequestRecord &record, UnknownCause cause, Turn &turn);
     /// \brief The caller asked again for the outcome of a request that has ended.
-    void repeat(RequestRecord &record, Turn &turn);
+    void resend(RequestRecord &record, Turn &turn);
 
 private:
     void sendAnswer(const RequestRecord &record, const std::string &payload, Turn &turn) const;
     void observe(const RequestRecord &record, RequestOutcome outcome, RefusalCause refusal,
                  Turn &turn) const;
-    [[nodiscard]] static TimePoint keptUntil(const RequestRecord &record, TimePoint now) noexcept;
+    [[nodiscard]] static TimePoint retainedUntil(const RequestRecord &record,
+                                                 TimePoint now) noexcept;
 
     NodeContext &m_context;
     RequestTable &m_table;
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -159,8 +159,8 @@
         return RefusalCause::TableFull;
     const ServiceConfig *service = m_context.config->service(reserve.service);
     if (service
-        && m_table.shareUsed(service->workspace, service->limits.workspaceShare,
-                             m_context.workspaceWeights))
+        && m_table.shareExhausted(service->workspace, service->limits.workspaceShare,
+                                  m_context.workspaceWeights))
         return RefusalCause::WorkspaceLimit;
     return std::nullopt;
 }
@@ -241,7 +241,7 @@
     if (std::holds_alternative<ReservedState>(record.state))
         return m_dispatcher.requestArrived(record, std::move(message.payload), turn);
     if (!record.inProgress())
-        m_outcomes.repeat(record, turn);
+        m_outcomes.resend(record, turn);
 }
 
 void RequestOwner::handle(RequestRecord &record, const CancelRequest &, Turn &turn)
@@ -255,7 +255,7 @@
     }
     if (record.inProgress())
         return m_dispatcher.cancelAttempt(record, turn);
-    m_outcomes.repeat(record, turn);
+    m_outcomes.resend(record, turn);
 }
 
 void RequestOwner::advance(Turn &turn)
--- a/src/core/requests/request_table.cpp
+++ b/src/core/requests/request_table.cpp
@@ -5,16 +5,16 @@
 
 namespace baobabtrail {
 
-bool RequestTable::shareUsed(const std::string &workspace, std::uint32_t weight,
-                             std::uint64_t weights) const noexcept
+bool RequestTable::shareExhausted(const std::string &workspace, std::uint32_t weight,
+                                  std::uint64_t totalWeight) const noexcept
 {
     // While there is room a workspace may use what others leave.
     if (m_records.size() < m_capacity / 2)
         return false;
     const auto found = m_perWorkspace.find(workspace);
-    if (found == m_perWorkspace.end() || weights == 0)
+    if (found == m_perWorkspace.end() || totalWeight == 0)
         return false;
-    return found->second >= m_capacity * weight / weights;
+    return found->second >= m_capacity * weight / totalWeight;
 }
 
 RequestRecord *RequestTable::find(const RequestId &id) noexcept
@@ -35,7 +35,7 @@
     ++m_perWorkspace[record.workspace];
     m_due.push({record.dueAt, id});
     RequestRecord &added = m_records.insert_or_assign(id, std::move(record)).first->second;
-    count(added, true);
+    adjustCounts(added, true);
     return added;
 }
 
@@ -44,25 +44,25 @@
     const auto found = m_records.find(id);
     if (found == m_records.end())
         return;
-    count(found->second, false);
+    adjustCounts(found->second, false);
     const auto workspace = m_perWorkspace.find(found->second.workspace);
     if (--workspace->second == 0)
         m_perWorkspace.erase(workspace);
     m_records.erase(found);
 }
 
-void RequestTable::enter(RequestRecord &record, RequestState state, TimePoint dueAt)
+void RequestTable::setState(RequestRecord &record, RequestState state, TimePoint dueAt)
 {
-    count(record, false);
+    adjustCounts(record, false);
     record.state = std::move(state);
-    count(record, true);
+    adjustCounts(record, true);
     if (record.dueAt == dueAt)
         return;
     record.dueAt = dueAt;
     m_due.push({dueAt, record.id});
 }
 
-void RequestTable::count(const RequestRecord &record, bool added) noexcept
+void RequestTable::adjustCounts(const RequestRecord &record, bool added) noexcept
 {
     const std::size_t sign = added ? 1 : std::size_t(-1);
     if (record.inProgress())
--- a/src/core/requests/request_table.h
+++ b/src/core/requests/request_table.h
@@ -22,9 +22,9 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_records.size(); }
     [[nodiscard]] bool full() const noexcept { return m_records.size() >= m_capacity; }
     /// \return Whether a workspace has used up its share of a table that is getting full.
-    /// \param weight Of the workspace, relative to \a weights, the sum over all workspaces.
-    [[nodiscard]] bool shareUsed(const std::string &workspace, std::uint32_t weight,
-                                 std::uint64_t weights) const noexcept;
+    /// \param weight Of the workspace, relative to \a totalWeight, the sum over all workspaces.
+    [[nodiscard]] bool shareExhausted(const std::string &workspace, std::uint32_t weight,
+                                      std::uint64_t totalWeight) const noexcept;
     [[nodiscard]] RequestRecord *find(const RequestId &id) noexcept;
     /// \return The record whose attempt it is, or null where the attempt was given up.
     [[nodiscard]] RequestRecord *findAttempt(AttemptId attempt) noexcept;
@@ -36,7 +36,7 @@
     [[nodiscard]] std::size_t runningAttempts() const noexcept { return m_attempts.size(); }
 
     /// \brief Moves a record to a new state, which time alone changes at \a dueAt.
-    void enter(RequestRecord &record, RequestState state, TimePoint dueAt);
+    void setState(RequestRecord &record, RequestState state, TimePoint dueAt);
     /// \return A record that is due, or null.
     [[nodiscard]] RequestRecord *due(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
@@ -57,7 +57,7 @@
         friend bool operator>(const Due &a, const Due &b) noexcept { return a.at > b.at; }
     };
 
-    void count(const RequestRecord &record, bool added) noexcept;
+    void adjustCounts(const RequestRecord &record, bool added) noexcept;
 
     std::size_t m_capacity;
     std::unordered_map<RequestId, RequestRecord> m_records;
