--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -66,7 +66,7 @@
         = work.queue.admit(entry, turn.now, m_context.random, displaced);
     RequestRecord *out = displaced ? m_table.find(displaced->request) : nullptr;
     if (out) {
-        m_outcomes.notRun(*out, RefusalCause::Overload, work.queue.comeBackAfter(m_context.random),
+        m_outcomes.notRun(*out, RefusalCause::Overload, work.queue.retryAfter(m_context.random),
                           turn);
     }
     publishQueueLength(target, work);
--- a/src/core/requests/outcomes.cpp
+++ b/src/core/requests/outcomes.cpp
@@ -19,13 +19,13 @@
     m_table.setState(record, AnsweredState{std::move(payload)}, retainedUntil(record, turn.now));
 }
 
-void Outcomes::notRun(RequestRecord &record, RefusalCause cause, Duration comeBackAfter, Turn &turn)
+void Outcomes::notRun(RequestRecord &record, RefusalCause cause, Duration retryAfter, Turn &turn)
 {
     // An earlier attempt was cut off by a broken connection: the caller would take "not run" as
     // leave to ask again, and a swap would be made twice.
     if (record.mayHaveRun)
         return unknown(record, UnknownCause::LinkBroken, turn);
-    const NotRun reply{record.id, cause, comeBackAfter, m_context.identity.daemon};
+    const NotRun reply{record.id, cause, retryAfter, m_context.identity.daemon};
     // A caller that holds another owner's reservation as well may have its request running there.
     // Until it sends the request under this one, it is told nothing of it.
     if (!std::holds_alternative<ReservedState>(record.state)) {
--- a/src/core/requests/outcomes.h
+++ b/src/core/requests/outcomes.h
@@ -18,7 +18,7 @@
     void answered(RequestRecord &record, std::string payload, Turn &turn);
     /// \brief The request did not run. Where an attempt may have run after all, the outcome is
     /// unknown instead.
-    void notRun(RequestRecord &record, RefusalCause cause, Duration comeBackAfter, Turn &turn);
+    void notRun(RequestRecord &record, RefusalCause cause, Duration retryAfter, Turn &turn);
     void unknown(RequestRecord &record, UnknownCause cause, Turn &turn);
     /// \brief The caller asked again for the outcome of a request that has ended.
     void resend(RequestRecord &record, Turn &turn);
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -51,12 +51,12 @@
     const Reserve reserve = reserveOf(ask);
     if (reserve.timeLeft <= Duration{0})
         return refuse(ask, RefusalCause::DeadlinePassed, Duration{0}, turn);
-    Duration comeBackAfter = m_context.spread(DefaultComeBack);
+    Duration retryAfter = m_context.spread(DefaultComeBack);
     std::vector<TargetId> queues;
     const auto offerFreeSlot = [&](const Handoff &offered, TargetId target) {
         queues.push_back(target);
         return m_dispatcher.hasFreeSlot(target, turn.now)
-               && offer(offered, target, comeBackAfter, turn);
+               && offer(offered, target, retryAfter, turn);
     };
     if (forwarded && m_context.targets.owns(ask.target)) {
         if (offerFreeSlot(ask, ask.target))
@@ -75,21 +75,21 @@
     // than the one before.
     std::reverse(queues.begin(), queues.end());
     for (const TargetId target : queues) {
-        if (offer(ask, target, comeBackAfter, turn))
+        if (offer(ask, target, retryAfter, turn))
             return;
     }
     if (ask.hints.empty() && returnAsk(m_context, turn, ask))
         return;
     if (m_context.stopping)
-        return refuse(ask, RefusalCause::Stopping, comeBackAfter, turn);
+        return refuse(ask, RefusalCause::Stopping, retryAfter, turn);
     if (!m_context.configured())
         return;
     if (!m_context.knows(reserve.service))
-        return refuse(ask, RefusalCause::UnknownService, comeBackAfter, turn);
+        return refuse(ask, RefusalCause::UnknownService, retryAfter, turn);
     const std::optional<RefusalCause> bound = refusalByLimits(reserve);
     if (bound)
-        return refuse(ask, *bound, comeBackAfter, turn);
-    refuse(ask, ask.hints.empty() ? RefusalCause::NoTarget : RefusalCause::Overload, comeBackAfter,
+        return refuse(ask, *bound, retryAfter, turn);
+    refuse(ask, ask.hints.empty() ? RefusalCause::NoTarget : RefusalCause::Overload, retryAfter,
            turn);
 }
 
@@ -110,7 +110,7 @@
     return true;
 }
 
-bool RequestOwner::offer(const Handoff &ask, TargetId target, Duration &comeBackAfter, Turn &turn)
+bool RequestOwner::offer(const Handoff &ask, TargetId target, Duration &retryAfter, Turn &turn)
 {
     const Reserve &reserve = reserveOf(ask);
     const ServiceConfig *service = m_context.config->service(reserve.service);
@@ -137,7 +137,7 @@
                            turn.now};
     const std::optional<QueueRefusal> refusal = m_dispatcher.admit(target, entry, turn);
     if (refusal) {
-        comeBackAfter = refusal->retryAfter;
+        retryAfter = refusal->retryAfter;
         return false;
     }
     record.token = m_context.keys->sealReservation(record.id, record.token);
@@ -165,13 +165,12 @@
     return std::nullopt;
 }
 
-void RequestOwner::refuse(const Handoff &ask, RefusalCause cause, Duration comeBackAfter,
-                          Turn &turn)
+void RequestOwner::refuse(const Handoff &ask, RefusalCause cause, Duration retryAfter, Turn &turn)
 {
     const Reserve &reserve = reserveOf(ask);
     turn.observe(RequestObserved{
         reserve.service, reserve.requestClass, RequestOutcome::NotRun, cause, {}, {}});
-    replyToAsk(m_context, turn, ask, NotRun{reserve.request, cause, comeBackAfter, DaemonId{}});
+    replyToAsk(m_context, turn, ask, NotRun{reserve.request, cause, retryAfter, DaemonId{}});
 }
 
 template <typename Message>
--- a/src/core/requests/request_owner.h
+++ b/src/core/requests/request_owner.h
@@ -30,11 +30,10 @@
 
 private:
     void reserve(Handoff ask, bool forwarded, Turn &turn);
-    [[nodiscard]] bool offer(const Handoff &ask, TargetId target, Duration &comeBackAfter,
-                             Turn &turn);
+    [[nodiscard]] bool offer(const Handoff &ask, TargetId target, Duration &retryAfter, Turn &turn);
     [[nodiscard]] bool answerDuplicate(const Handoff &ask, Turn &turn);
     [[nodiscard]] std::optional<RefusalCause> refusalByLimits(const Reserve &reserve) const;
-    void refuse(const Handoff &ask, RefusalCause cause, Duration comeBackAfter, Turn &turn);
+    void refuse(const Handoff &ask, RefusalCause cause, Duration retryAfter, Turn &turn);
 
     template <typename Message>
     void route(const Endpoint &caller, Message message, Turn &turn);
--- a/src/core/requests/target_queue.h
+++ b/src/core/requests/target_queue.h
@@ -40,10 +40,7 @@
     }
 
     [[nodiscard]] std::size_t size() const noexcept { return m_queue.size() + m_moved.size(); }
-    [[nodiscard]] Duration comeBackAfter(Random &random) const
-    {
-        return m_queue.retryAfter(random);
-    }
+    [[nodiscard]] Duration retryAfter(Random &random) const { return m_queue.retryAfter(random); }
 
 private:
     struct MovedRequest
