--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -123,7 +123,7 @@
     const OpenFlow &open = openOf(ask);
     turn.observe(FlowObserved{open.service, FlowEvent::Refused, cause, {}});
     replyToAsk(m_context, turn, ask,
-               RefuseFlow{open.flow, cause, m_context.spread(DefaultComeBack)});
+               RefuseFlow{open.flow, cause, m_context.spread(DefaultRetryAfter)});
 }
 
 template <typename Message>
--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -59,7 +59,7 @@
 {
     const auto found = m_work.find(target);
     if (found == m_work.end() || !m_context.targets.takesWork(target, turn.now))
-        return QueueRefusal{RefusalCause::NoTarget, m_context.spread(DefaultComeBack)};
+        return QueueRefusal{RefusalCause::NoTarget, m_context.spread(DefaultRetryAfter)};
     TargetWork &work = found->second;
     std::optional<QueueEntry> displaced;
     const std::optional<QueueRefusal> refusal
@@ -268,7 +268,7 @@
     if (cancelled)
         m_outcomes.notRun(*record, RefusalCause::Cancelled, Duration{0}, turn);
     else if (!retry(*record, turn))
-        m_outcomes.notRun(*record, report.cause, m_context.spread(DefaultComeBack), turn);
+        m_outcomes.notRun(*record, report.cause, m_context.spread(DefaultRetryAfter), turn);
     dispatchQueued(target, turn);
 }
 
@@ -379,7 +379,7 @@
         if (other)
             moveTo(record, *other, std::move(record.state), turn);
         else
-            m_outcomes.notRun(record, RefusalCause::NoTarget, m_context.spread(DefaultComeBack),
+            m_outcomes.notRun(record, RefusalCause::NoTarget, m_context.spread(DefaultRetryAfter),
                               turn);
     }
 }
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -51,7 +51,7 @@
     const Reserve reserve = reserveOf(ask);
     if (reserve.timeLeft <= Duration{0})
         return refuse(ask, RefusalCause::DeadlinePassed, Duration{0}, turn);
-    Duration retryAfter = m_context.spread(DefaultComeBack);
+    Duration retryAfter = m_context.spread(DefaultRetryAfter);
     std::vector<TargetId> queues;
     const auto offerFreeSlot = [&](const Handoff &offered, TargetId target) {
         queues.push_back(target);
--- a/src/core/traffic/node_context.h
+++ b/src/core/traffic/node_context.h
@@ -91,7 +91,7 @@
 };
 
 /// \brief Time until a refused caller may come back where no queue foresees a better one.
-inline constexpr Duration DefaultComeBack = 200ms;
+inline constexpr Duration DefaultRetryAfter = 200ms;
 
 /// Load of a target that must not be chosen again; larger than any that is told.
 inline constexpr float WorstLoad = 1e9F;
