--- a/src/core/requests/target_queue.h
+++ b/src/core/requests/target_queue.h
@@ -30,7 +30,7 @@
     /// target could not run.
     void addMoved(const QueueEntry &entry, bool ready);
     /// \brief The request itself has come.
-    void ready(const RequestId &request);
+    void setReady(const RequestId &request);
     /// \return The next request to start, or nothing. Entries past their deadline go to \a expired.
     [[nodiscard]] std::optional<RequestId> pop(TimePoint now, std::vector<QueueEntry> &expired);
     void remove(const RequestId &request);
