--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -47,7 +47,7 @@
 
 void FlowRouter::open(const Endpoint &caller, OpenFlow message, Turn &turn)
 {
-    place(newAsk(m_context, caller, message), false, turn);
+    place(newHandoff(m_context, caller, message), false, turn);
 }
 
 void FlowRouter::fromPeer(Handoff ask, Turn &turn)
@@ -65,15 +65,15 @@
 void FlowRouter::place(Handoff ask, bool forwarded, Turn &turn)
 {
     const OpenFlow open = openOf(ask);
-    const Placing placing{
+    const PlacementCallbacks placing{
         [&](const std::vector<LoadHint> &declined) {
             return m_context.targets.chooseForFlow(open.service, open.flow, open.attempt, declined,
                                                    turn.now, m_context.random);
         },
         [&](const Handoff &offered, TargetId target) { return offer(offered, target, turn); }};
-    if (placeAsk(m_context, turn, ask, forwarded, placing))
+    if (placeOrForward(m_context, turn, ask, forwarded, placing))
         return;
-    if (ask.hints.empty() && returnAsk(m_context, turn, ask))
+    if (ask.hints.empty() && returnToEntry(m_context, turn, ask))
         return;
     if (m_context.stopping)
         return refuse(ask, RefusalCause::Stopping, turn);
@@ -122,8 +122,8 @@
 {
     const OpenFlow &open = openOf(ask);
     turn.observe(FlowObserved{open.service, FlowEvent::Refused, cause, {}});
-    replyToAsk(m_context, turn, ask,
-               RefuseFlow{open.flow, cause, m_context.spread(DefaultRetryAfter)});
+    replyToHandoff(m_context, turn, ask,
+                   RefuseFlow{open.flow, cause, m_context.spread(DefaultRetryAfter)});
 }
 
 template <typename Message>
@@ -212,7 +212,7 @@
     turn.observe(
         FlowObserved{token.service, resumes ? FlowEvent::Reopened : FlowEvent::Opened, {}, {}});
     open->ask.hints.push_back(m_context.targets.loadOf(token.target, turn.now));
-    replyToAsk(m_context, turn, open->ask, reply);
+    replyToHandoff(m_context, turn, open->ask, reply);
 }
 
 void FlowRouter::refused(TargetDatagram &datagram, const RefuseFlow &refusal, Turn &turn)
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -29,7 +29,7 @@
         [&](auto &&m) {
             using Message = std::decay_t<decltype(m)>;
             if constexpr (std::is_same_v<Message, Reserve>)
-                reserve(newAsk(m_context, caller, m), false, turn);
+                reserve(newHandoff(m_context, caller, m), false, turn);
             else if constexpr (std::is_same_v<
                                    Message, RequestData> || std::is_same_v<Message, CancelRequest>)
                 route(caller, std::forward<decltype(m)>(m), turn);
@@ -63,13 +63,13 @@
             return;
         ask.hints.push_back(declinedLoad(m_context, ask.target, turn.now));
     }
-    const Placing placing{[&](const std::vector<LoadHint> &declined) {
-                              return m_context.targets.chooseForRequest(reserve.service,
-                                                                        reserve.request, declined,
-                                                                        turn.now, m_context.random);
-                          },
-                          offerFreeSlot};
-    if (placeAsk(m_context, turn, ask, forwarded, placing))
+    const PlacementCallbacks placing{[&](const std::vector<LoadHint> &declined) {
+                                         return m_context.targets.chooseForRequest(
+                                             reserve.service, reserve.request, declined, turn.now,
+                                             m_context.random);
+                                     },
+                                     offerFreeSlot};
+    if (placeOrForward(m_context, turn, ask, forwarded, placing))
         return;
     // Without a free slot anywhere the ask waits where it is; each target tried was less loaded
     // than the one before.
@@ -78,7 +78,7 @@
         if (offer(ask, target, retryAfter, turn))
             return;
     }
-    if (ask.hints.empty() && returnAsk(m_context, turn, ask))
+    if (ask.hints.empty() && returnToEntry(m_context, turn, ask))
         return;
     if (m_context.stopping)
         return refuse(ask, RefusalCause::Stopping, retryAfter, turn);
@@ -106,7 +106,7 @@
         refuse(ask, RefusalCause::Cancelled, Duration{0}, turn);
         return true;
     }
-    replyToAsk(m_context, turn, ask, Reserved{reserve.request, record->token});
+    replyToHandoff(m_context, turn, ask, Reserved{reserve.request, record->token});
     return true;
 }
 
@@ -147,7 +147,7 @@
     m_table.add(std::move(record));
     Handoff placed = ask;
     placed.hints.push_back(m_context.targets.loadOf(target, turn.now));
-    replyToAsk(m_context, turn, placed, reply);
+    replyToHandoff(m_context, turn, placed, reply);
     return true;
 }
 
@@ -170,7 +170,7 @@
     const Reserve &reserve = reserveOf(ask);
     turn.observe(RequestObserved{
         reserve.service, reserve.requestClass, RequestOutcome::NotRun, cause, {}, {}});
-    replyToAsk(m_context, turn, ask, NotRun{reserve.request, cause, retryAfter, DaemonId{}});
+    replyToHandoff(m_context, turn, ask, NotRun{reserve.request, cause, retryAfter, DaemonId{}});
 }
 
 template <typename Message>
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 /// Most own targets that one ask is offered to before it is handed on.
-constexpr int MaxOwnOffers = 8;
+constexpr int MaxOwnedTargetOffers = 8;
 
-void sendToCaller(Turn &turn, const Endpoint &caller, const AskReply &reply)
+void sendToCaller(Turn &turn, const Endpoint &caller, const PlacementReply &reply)
 {
     struct Send
     {
@@ -23,8 +23,8 @@
 
 } // namespace
 
-Handoff newAsk(const NodeContext &context, const Endpoint &caller,
-               std::variant<OpenFlow, Reserve> body)
+Handoff newHandoff(const NodeContext &context, const Endpoint &caller,
+                   std::variant<OpenFlow, Reserve> body)
 {
     Handoff ask;
     ask.caller = caller;
@@ -41,10 +41,10 @@
     return context.targets.loadOf(target, now);
 }
 
-bool placeAsk(NodeContext &context, Turn &turn, Handoff &ask, bool forwarded,
-              const Placing &placing)
+bool placeOrForward(NodeContext &context, Turn &turn, Handoff &ask, bool forwarded,
+                    const PlacementCallbacks &placing)
 {
-    for (int offers = 0; offers < MaxOwnOffers; ++offers) {
+    for (int offers = 0; offers < MaxOwnedTargetOffers; ++offers) {
         const std::optional<PlacementChoice> choice = placing.choose(ask.hints);
         if (!choice)
             return false;
@@ -66,7 +66,7 @@
     return false;
 }
 
-bool returnAsk(NodeContext &context, Turn &turn, Handoff &ask)
+bool returnToEntry(NodeContext &context, Turn &turn, Handoff &ask)
 {
     if (ask.entry == context.identity.address || ask.hops >= context.settings.maxHops)
         return false;
@@ -76,7 +76,8 @@
     return true;
 }
 
-void replyToAsk(NodeContext &context, Turn &turn, const Handoff &ask, const AskReply &reply)
+void replyToHandoff(NodeContext &context, Turn &turn, const Handoff &ask,
+                    const PlacementReply &reply)
 {
     if (ask.entry == context.identity.address) {
         sendToCaller(turn, ask.caller, reply);
@@ -85,7 +86,7 @@
     turn.toPeer(ask.entry, HandoffReply{ask.caller, ask.hints, reply});
 }
 
-void passReply(NodeContext &context, Turn &turn, const HandoffReply &reply)
+void relayReply(NodeContext &context, Turn &turn, const HandoffReply &reply)
 {
     for (const LoadHint &hint : reply.hints)
         context.targets.applyHint(hint, turn.now);
--- a/src/core/traffic/handoffs.h
+++ b/src/core/traffic/handoffs.h
@@ -7,10 +7,10 @@
 namespace baobabtrail {
 
 /// \brief Reply to an ask for a flow or a request.
-using AskReply = decltype(HandoffReply::reply);
+using PlacementReply = decltype(HandoffReply::reply);
 
 /// \brief How an ask is placed: the parts in which flows and requests differ.
-struct Placing
+struct PlacementCallbacks
 {
     /// Chooses a target that is not among those that declined.
     std::function<std::optional<PlacementChoice>(const std::vector<LoadHint> &declined)> choose;
@@ -19,8 +19,8 @@
 };
 
 /// \return An ask as it starts at the daemon that the caller reached.
-[[nodiscard]] Handoff newAsk(const NodeContext &context, const Endpoint &caller,
-                             std::variant<OpenFlow, Reserve> body);
+[[nodiscard]] Handoff newHandoff(const NodeContext &context, const Endpoint &caller,
+                                 std::variant<OpenFlow, Reserve> body);
 
 /// \return The load of an own target that did not take an ask, as it is told to the next owner.
 [[nodiscard]] LoadHint declinedLoad(const NodeContext &context, TargetId target, TimePoint now);
@@ -28,18 +28,19 @@
 /// \brief Offers an ask to own targets, or hands it over to the owner of another one.
 /// \param forwarded Whether handing it over is a forward, which is bounded.
 /// \return Whether it found a place; if not, the caller has to be refused.
-[[nodiscard]] bool placeAsk(NodeContext &context, Turn &turn, Handoff &ask, bool forwarded,
-                            const Placing &placing);
+[[nodiscard]] bool placeOrForward(NodeContext &context, Turn &turn, Handoff &ask, bool forwarded,
+                                  const PlacementCallbacks &placing);
 
 /// \brief Gives an ask back to the daemon that the caller reached, where this one knows no target
 /// that may take it: a daemon that has joined a moment ago knows less than the one that asked it.
 /// \return Whether it was given back; if not, the caller has to be refused.
-[[nodiscard]] bool returnAsk(NodeContext &context, Turn &turn, Handoff &ask);
+[[nodiscard]] bool returnToEntry(NodeContext &context, Turn &turn, Handoff &ask);
 
 /// \brief Answers an ask, through the daemon that the caller reached.
-void replyToAsk(NodeContext &context, Turn &turn, const Handoff &ask, const AskReply &reply);
+void replyToHandoff(NodeContext &context, Turn &turn, const Handoff &ask,
+                    const PlacementReply &reply);
 
 /// \brief Passes a reply on to its caller and takes in the loads that ride on it.
-void passReply(NodeContext &context, Turn &turn, const HandoffReply &reply);
+void relayReply(NodeContext &context, Turn &turn, const HandoffReply &reply);
 
 } // namespace baobabtrail
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -100,7 +100,7 @@
         else
             m_requests.fromPeer(std::move(*ask), turn);
     } else if (const HandoffReply *reply = std::get_if<HandoffReply>(&body)) {
-        passReply(m_context, turn, *reply);
+        relayReply(m_context, turn, *reply);
     } else if (OwnerRequest *request = std::get_if<OwnerRequest>(&body)) {
         m_requests.fromPeer(std::move(*request), turn);
     }
