--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-[[nodiscard]] const Reserve &reserveOf(const Handoff &ask)
+[[nodiscard]] const Reserve &reserveOf(const Handoff &handoff)
 {
-    return std::get<Reserve>(ask.ask);
+    return std::get<Reserve>(handoff.ask);
 }
 
 } // namespace
@@ -37,20 +37,20 @@
         std::move(message));
 }
 
-void RequestOwner::fromPeer(Handoff ask, Turn &turn)
+void RequestOwner::fromPeer(Handoff handoff, Turn &turn)
 {
-    for (const LoadHint &hint : ask.hints)
+    for (const LoadHint &hint : handoff.hints)
         m_context.targets.applyHint(hint, turn.now);
-    reserve(std::move(ask), true, turn);
+    reserve(std::move(handoff), true, turn);
 }
 
-void RequestOwner::reserve(Handoff ask, bool forwarded, Turn &turn)
+void RequestOwner::reserve(Handoff handoff, bool forwarded, Turn &turn)
 {
-    if (answerDuplicate(ask, turn))
+    if (answerDuplicate(handoff, turn))
         return;
-    const Reserve reserve = reserveOf(ask);
+    const Reserve reserve = reserveOf(handoff);
     if (reserve.timeLeft <= Duration{0})
-        return refuse(ask, RefusalCause::DeadlinePassed, Duration{0}, turn);
+        return refuse(handoff, RefusalCause::DeadlinePassed, Duration{0}, turn);
     Duration retryAfter = m_context.spread(DefaultRetryAfter);
     std::vector<TargetId> queues;
     const auto offerFreeSlot = [&](const Handoff &offered, TargetId target) {
@@ -58,61 +58,61 @@
         return m_dispatcher.hasFreeSlot(target, turn.now)
                && offer(offered, target, retryAfter, turn);
     };
-    if (forwarded && m_context.targets.owns(ask.target)) {
-        if (offerFreeSlot(ask, ask.target))
+    if (forwarded && m_context.targets.owns(handoff.target)) {
+        if (offerFreeSlot(handoff, handoff.target))
             return;
-        ask.hints.push_back(declinedLoad(m_context, ask.target, turn.now));
+        handoff.hints.push_back(declinedLoad(m_context, handoff.target, turn.now));
     }
-    const PlacementCallbacks placing{[&](const std::vector<LoadHint> &declined) {
-                                         return m_context.targets.chooseForRequest(
-                                             reserve.service, reserve.request, declined, turn.now,
-                                             m_context.random);
-                                     },
-                                     offerFreeSlot};
-    if (placeOrForward(m_context, turn, ask, forwarded, placing))
+    const PlacementCallbacks callbacks{[&](const std::vector<LoadHint> &declined) {
+                                           return m_context.targets.chooseForRequest(
+                                               reserve.service, reserve.request, declined, turn.now,
+                                               m_context.random);
+                                       },
+                                       offerFreeSlot};
+    if (placeOrForward(m_context, turn, handoff, forwarded, callbacks))
         return;
     // Without a free slot anywhere the ask waits where it is; each target tried was less loaded
     // than the one before.
     std::reverse(queues.begin(), queues.end());
     for (const TargetId target : queues) {
-        if (offer(ask, target, retryAfter, turn))
+        if (offer(handoff, target, retryAfter, turn))
             return;
     }
-    if (ask.hints.empty() && returnToEntry(m_context, turn, ask))
+    if (handoff.hints.empty() && returnToEntry(m_context, turn, handoff))
         return;
     if (m_context.stopping)
-        return refuse(ask, RefusalCause::Stopping, retryAfter, turn);
+        return refuse(handoff, RefusalCause::Stopping, retryAfter, turn);
     if (!m_context.configured())
         return;
     if (!m_context.knows(reserve.service))
-        return refuse(ask, RefusalCause::UnknownService, retryAfter, turn);
+        return refuse(handoff, RefusalCause::UnknownService, retryAfter, turn);
     const std::optional<RefusalCause> bound = refusalByLimits(reserve);
     if (bound)
-        return refuse(ask, *bound, retryAfter, turn);
-    refuse(ask, ask.hints.empty() ? RefusalCause::NoTarget : RefusalCause::Overload, retryAfter,
-           turn);
+        return refuse(handoff, *bound, retryAfter, turn);
+    refuse(handoff, handoff.hints.empty() ? RefusalCause::NoTarget : RefusalCause::Overload,
+           retryAfter, turn);
 }
 
 // The caller may reserve again while its first reservation is on its way. With the same place it
 // can't hold two, whichever answer it takes; one that ended stays ended, as a copy of its request
 // that is still on its way would start the new one.
-bool RequestOwner::answerDuplicate(const Handoff &ask, Turn &turn)
+bool RequestOwner::answerDuplicate(const Handoff &handoff, Turn &turn)
 {
-    const Reserve &reserve = reserveOf(ask);
+    const Reserve &reserve = reserveOf(handoff);
     RequestRecord *record = m_table.find(reserve.request);
     if (!record)
         return false;
     if (record->token.service != reserve.service) {
-        refuse(ask, RefusalCause::Cancelled, Duration{0}, turn);
+        refuse(handoff, RefusalCause::Cancelled, Duration{0}, turn);
         return true;
     }
-    replyToHandoff(m_context, turn, ask, Reserved{reserve.request, record->token});
+    replyToHandoff(m_context, turn, handoff, Reserved{reserve.request, record->token});
     return true;
 }
 
-bool RequestOwner::offer(const Handoff &ask, TargetId target, Duration &retryAfter, Turn &turn)
+bool RequestOwner::offer(const Handoff &handoff, TargetId target, Duration &retryAfter, Turn &turn)
 {
-    const Reserve &reserve = reserveOf(ask);
+    const Reserve &reserve = reserveOf(handoff);
     const ServiceConfig *service = m_context.config->service(reserve.service);
     if (!service || !service->targets.contains(target) || m_context.stopping)
         return false;
@@ -126,7 +126,7 @@
     record.token.service = reserve.service;
     record.token.ownerAddress = m_context.identity.address;
     record.token.deadline = turn.now + std::min(reserve.timeLeft, m_context.settings.maxDeadline);
-    record.caller = ask.caller;
+    record.caller = handoff.caller;
     record.target = target;
     record.requestClass = reserve.requestClass;
     record.idempotent = reserve.idempotent;
@@ -145,7 +145,7 @@
     record.state = ReservedState{record.dueAt};
     const Reserved reply{record.id, record.token};
     m_table.add(std::move(record));
-    Handoff placed = ask;
+    Handoff placed = handoff;
     placed.hints.push_back(m_context.targets.loadOf(target, turn.now));
     replyToHandoff(m_context, turn, placed, reply);
     return true;
@@ -165,12 +165,14 @@
     return std::nullopt;
 }
 
-void RequestOwner::refuse(const Handoff &ask, RefusalCause cause, Duration retryAfter, Turn &turn)
+void RequestOwner::refuse(const Handoff &handoff, RefusalCause cause, Duration retryAfter,
+                          Turn &turn)
 {
-    const Reserve &reserve = reserveOf(ask);
+    const Reserve &reserve = reserveOf(handoff);
     turn.observe(RequestObserved{
         reserve.service, reserve.requestClass, RequestOutcome::NotRun, cause, {}, {}});
-    replyToHandoff(m_context, turn, ask, NotRun{reserve.request, cause, retryAfter, DaemonId{}});
+    replyToHandoff(m_context, turn, handoff,
+                   NotRun{reserve.request, cause, retryAfter, DaemonId{}});
 }
 
 template <typename Message>
--- a/src/core/requests/request_owner.h
+++ b/src/core/requests/request_owner.h
@@ -16,7 +16,7 @@
 
     void fromCaller(const Endpoint &caller, RequestMessage message, Turn &turn);
     /// \brief A Reserve that another daemon handed over.
-    void fromPeer(Handoff ask, Turn &turn);
+    void fromPeer(Handoff handoff, Turn &turn);
     /// \brief A reserved request, or its cancellation, that another daemon handed over.
     void fromPeer(OwnerRequest message, Turn &turn);
 
@@ -29,11 +29,12 @@
     [[nodiscard]] const RequestTable &table() const noexcept { return m_table; }
 
 private:
-    void reserve(Handoff ask, bool forwarded, Turn &turn);
-    [[nodiscard]] bool offer(const Handoff &ask, TargetId target, Duration &retryAfter, Turn &turn);
-    [[nodiscard]] bool answerDuplicate(const Handoff &ask, Turn &turn);
+    void reserve(Handoff handoff, bool forwarded, Turn &turn);
+    [[nodiscard]] bool offer(const Handoff &handoff, TargetId target, Duration &retryAfter,
+                             Turn &turn);
+    [[nodiscard]] bool answerDuplicate(const Handoff &handoff, Turn &turn);
     [[nodiscard]] std::optional<RefusalCause> refusalByLimits(const Reserve &reserve) const;
-    void refuse(const Handoff &ask, RefusalCause cause, Duration retryAfter, Turn &turn);
+    void refuse(const Handoff &handoff, RefusalCause cause, Duration retryAfter, Turn &turn);
 
     template <typename Message>
     void route(const Endpoint &caller, Message message, Turn &turn);
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -26,11 +26,11 @@
 Handoff newHandoff(const NodeContext &context, const Endpoint &caller,
                    std::variant<OpenFlow, Reserve> body)
 {
-    Handoff ask;
-    ask.caller = caller;
-    ask.entry = context.identity.address;
-    ask.ask = body;
-    return ask;
+    Handoff handoff;
+    handoff.caller = caller;
+    handoff.entry = context.identity.address;
+    handoff.ask = body;
+    return handoff;
 }
 
 LoadHint declinedLoad(const NodeContext &context, TargetId target, TimePoint now)
@@ -41,49 +41,49 @@
     return context.targets.loadOf(target, now);
 }
 
-bool placeOrForward(NodeContext &context, Turn &turn, Handoff &ask, bool forwarded,
-                    const PlacementCallbacks &placing)
+bool placeOrForward(NodeContext &context, Turn &turn, Handoff &handoff, bool forwarded,
+                    const PlacementCallbacks &callbacks)
 {
     for (int offers = 0; offers < MaxOwnedTargetOffers; ++offers) {
-        const std::optional<PlacementChoice> choice = placing.choose(ask.hints);
+        const std::optional<PlacementChoice> choice = callbacks.choose(handoff.hints);
         if (!choice)
             return false;
         if (!choice->own) {
             // Owners whose views differ could pass an ask round in a ring; the count ends it.
-            if (forwarded && ask.hops >= context.settings.maxHops)
+            if (forwarded && handoff.hops >= context.settings.maxHops)
                 return false;
             if (choice->owner.isNull() || choice->owner == context.identity.address)
                 return false;
-            ask.hops += forwarded ? 1 : 0;
-            ask.target = choice->target;
-            turn.toPeer(choice->owner, ask);
+            handoff.hops += forwarded ? 1 : 0;
+            handoff.target = choice->target;
+            turn.toPeer(choice->owner, handoff);
             return true;
         }
-        if (placing.offer(ask, choice->target))
+        if (callbacks.offer(handoff, choice->target))
             return true;
-        ask.hints.push_back(declinedLoad(context, choice->target, turn.now));
+        handoff.hints.push_back(declinedLoad(context, choice->target, turn.now));
     }
     return false;
 }
 
-bool returnToEntry(NodeContext &context, Turn &turn, Handoff &ask)
+bool returnToEntry(NodeContext &context, Turn &turn, Handoff &handoff)
 {
-    if (ask.entry == context.identity.address || ask.hops >= context.settings.maxHops)
+    if (handoff.entry == context.identity.address || handoff.hops >= context.settings.maxHops)
         return false;
-    ++ask.hops;
-    ask.hints.push_back({ask.target, WorstLoad, WorstLoad});
-    turn.toPeer(ask.entry, ask);
+    ++handoff.hops;
+    handoff.hints.push_back({handoff.target, WorstLoad, WorstLoad});
+    turn.toPeer(handoff.entry, handoff);
     return true;
 }
 
-void replyToHandoff(NodeContext &context, Turn &turn, const Handoff &ask,
+void replyToHandoff(NodeContext &context, Turn &turn, const Handoff &handoff,
                     const PlacementReply &reply)
 {
-    if (ask.entry == context.identity.address) {
-        sendToCaller(turn, ask.caller, reply);
+    if (handoff.entry == context.identity.address) {
+        sendToCaller(turn, handoff.caller, reply);
         return;
     }
-    turn.toPeer(ask.entry, HandoffReply{ask.caller, ask.hints, reply});
+    turn.toPeer(handoff.entry, HandoffReply{handoff.caller, handoff.hints, reply});
 }
 
 void relayReply(NodeContext &context, Turn &turn, const HandoffReply &reply)
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -94,11 +94,11 @@
 void TrafficNode::Impl::on(FromPeer event, Turn &turn)
 {
     PeerMessage &body = event.datagram.body;
-    if (Handoff *ask = std::get_if<Handoff>(&body)) {
-        if (std::holds_alternative<OpenFlow>(ask->ask))
-            m_flows.fromPeer(std::move(*ask), turn);
+    if (Handoff *handoff = std::get_if<Handoff>(&body)) {
+        if (std::holds_alternative<OpenFlow>(handoff->ask))
+            m_flows.fromPeer(std::move(*handoff), turn);
         else
-            m_requests.fromPeer(std::move(*ask), turn);
+            m_requests.fromPeer(std::move(*handoff), turn);
     } else if (const HandoffReply *reply = std::get_if<HandoffReply>(&body)) {
         relayReply(m_context, turn, *reply);
     } else if (OwnerRequest *request = std::get_if<OwnerRequest>(&body)) {
