--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -79,7 +79,7 @@
         return refuse(ask, RefusalCause::Stopping, turn);
     if (!m_context.configured())
         return;
-    if (!m_context.knows(open.service))
+    if (!m_context.hasService(open.service))
         return refuse(ask, RefusalCause::UnknownService, turn);
     if (m_pending.full())
         return refuse(ask, RefusalCause::TableFull, turn);
@@ -123,7 +123,7 @@
     const OpenFlow &open = openOf(ask);
     turn.observe(FlowObserved{open.service, FlowEvent::Refused, cause, {}});
     replyToHandoff(m_context, turn, ask,
-                   RefuseFlow{open.flow, cause, m_context.spread(DefaultRetryAfter)});
+                   RefuseFlow{open.flow, cause, m_context.jittered(DefaultRetryAfter)});
 }
 
 template <typename Message>
@@ -153,7 +153,7 @@
     if (message.token.epoch >= m_context.keys->currentEpoch())
         return;
     message.token = m_context.keys->sealFlow(message.flow, message.token);
-    turn.toCaller(caller, FlowMessage{AcceptFlow{message.flow, message.token}});
+    turn.sendToCaller(caller, FlowMessage{AcceptFlow{message.flow, message.token}});
 }
 
 void FlowRouter::keepAlive(const Endpoint &caller, const KeepAlive &message, Turn &turn)
@@ -204,7 +204,7 @@
     std::optional<PendingOpen> open = m_pending.take(accept.flow, token);
     if (!open) {
         m_context.targets.heardFrom(token.target, turn.now);
-        turn.toCaller(datagram.caller, FlowMessage{reply});
+        turn.sendToCaller(datagram.caller, FlowMessage{reply});
         return;
     }
     m_context.targets.flowAccepted(token.target, datagram.load.value_or(LoadReport{}), turn.now);
@@ -242,7 +242,7 @@
     if (const ResetFlow *byTarget = std::get_if<ResetFlow>(&datagram.body)) {
         turn.observe(FlowObserved{token.service, FlowEvent::Reset, {}, byTarget->cause});
     }
-    turn.toCaller(datagram.caller, std::move(datagram.body));
+    turn.sendToCaller(datagram.caller, std::move(datagram.body));
 }
 
 bool FlowRouter::verifyToken(FlowId flow, const FlowToken &token, const Endpoint &caller,
@@ -264,7 +264,7 @@
                        Duration reopenAfter, Turn &turn)
 {
     turn.observe(FlowObserved{service, FlowEvent::Reset, {}, cause});
-    turn.toCaller(caller, FlowMessage{ResetFlow{flow, cause, reopenAfter}});
+    turn.sendToCaller(caller, FlowMessage{ResetFlow{flow, cause, reopenAfter}});
 }
 
 void FlowRouter::advance(Turn &turn)
--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -59,7 +59,7 @@
 {
     const auto found = m_work.find(target);
     if (found == m_work.end() || !m_context.targets.takesWork(target, turn.now))
-        return QueueRefusal{RefusalCause::NoTarget, m_context.spread(DefaultRetryAfter)};
+        return QueueRefusal{RefusalCause::NoTarget, m_context.jittered(DefaultRetryAfter)};
     TargetWork &work = found->second;
     std::optional<QueueEntry> displaced;
     const std::optional<QueueRefusal> refusal
@@ -207,7 +207,7 @@
     const AttemptId attempt{m_nextAttempt++};
     const Generation generation = *m_links.usable(record.target);
     std::string payload = std::move(std::get<QueuedState>(record.state).payload);
-    turn.onLink(
+    turn.sendOnLink(
         record.target, generation,
         Dispatch{attempt, record.id, record.token.service, record.requestClass, timeLeft, payload});
     if (record.attempts++ == 0) {
@@ -268,7 +268,7 @@
     if (cancelled)
         m_outcomes.notRun(*record, RefusalCause::Cancelled, Duration{0}, turn);
     else if (!retry(*record, turn))
-        m_outcomes.notRun(*record, report.cause, m_context.spread(DefaultRetryAfter), turn);
+        m_outcomes.notRun(*record, report.cause, m_context.jittered(DefaultRetryAfter), turn);
     dispatchQueued(target, turn);
 }
 
@@ -332,7 +332,7 @@
 {
     RunningState &running = std::get<RunningState>(record.state);
     running.cancelled = true;
-    turn.onLink(record.target, running.generation, CancelAttempt{running.attempt});
+    turn.sendOnLink(record.target, running.generation, CancelAttempt{running.attempt});
 }
 
 void Dispatcher::abandon(RequestRecord &record, Turn &turn)
@@ -379,7 +379,7 @@
         if (other)
             moveTo(record, *other, std::move(record.state), turn);
         else
-            m_outcomes.notRun(record, RefusalCause::NoTarget, m_context.spread(DefaultRetryAfter),
+            m_outcomes.notRun(record, RefusalCause::NoTarget, m_context.jittered(DefaultRetryAfter),
                               turn);
     }
 }
--- a/src/core/requests/outcomes.cpp
+++ b/src/core/requests/outcomes.cpp
@@ -29,7 +29,7 @@
     // A caller that holds another owner's reservation as well may have its request running there.
     // Until it sends the request under this one, it is told nothing of it.
     if (!std::holds_alternative<ReservedState>(record.state)) {
-        turn.toCaller(record.caller, RequestMessage{reply});
+        turn.sendToCaller(record.caller, RequestMessage{reply});
         observe(record, RequestOutcome::NotRun, cause, turn);
     }
     m_table.setState(record, NotRunState{reply}, retainedUntil(record, turn.now));
@@ -38,7 +38,7 @@
 void Outcomes::unknown(RequestRecord &record, UnknownCause cause, Turn &turn)
 {
     const OutcomeUnknown reply{record.id, cause};
-    turn.toCaller(record.caller, RequestMessage{reply});
+    turn.sendToCaller(record.caller, RequestMessage{reply});
     observe(record, RequestOutcome::Unknown, {}, turn);
     m_table.setState(record, UnknownState{reply}, retainedUntil(record, turn.now));
 }
@@ -46,9 +46,9 @@
 void Outcomes::resend(RequestRecord &record, Turn &turn)
 {
     if (const NotRunState *notRun = std::get_if<NotRunState>(&record.state))
-        return turn.toCaller(record.caller, RequestMessage{notRun->reply});
+        return turn.sendToCaller(record.caller, RequestMessage{notRun->reply});
     if (const UnknownState *unknown = std::get_if<UnknownState>(&record.state))
-        return turn.toCaller(record.caller, RequestMessage{unknown->reply});
+        return turn.sendToCaller(record.caller, RequestMessage{unknown->reply});
     AnsweredState *answered = std::get_if<AnsweredState>(&record.state);
     // A long answer to a short datagram would make the daemon an amplifier: resends are bounded.
     if (!answered || answered->resends >= m_context.settings.maxAnswerResends)
@@ -63,10 +63,10 @@
     const std::size_t parts
         = std::max<std::size_t>(1, (payload.size() + partBytes - 1) / partBytes);
     for (std::size_t part = 0; part < parts; ++part) {
-        turn.toCaller(record.caller,
-                      RequestMessage{Answer{record.id, static_cast<std::uint32_t>(part),
-                                            static_cast<std::uint32_t>(parts),
-                                            payload.substr(part * partBytes, partBytes)}});
+        turn.sendToCaller(record.caller,
+                          RequestMessage{Answer{record.id, static_cast<std::uint32_t>(part),
+                                                static_cast<std::uint32_t>(parts),
+                                                payload.substr(part * partBytes, partBytes)}});
     }
 }
 
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -51,7 +51,7 @@
     const Reserve reserve = reserveOf(handoff);
     if (reserve.timeLeft <= Duration{0})
         return refuse(handoff, RefusalCause::DeadlinePassed, Duration{0}, turn);
-    Duration retryAfter = m_context.spread(DefaultRetryAfter);
+    Duration retryAfter = m_context.jittered(DefaultRetryAfter);
     std::vector<TargetId> queues;
     const auto offerFreeSlot = [&](const Handoff &offered, TargetId target) {
         queues.push_back(target);
@@ -84,7 +84,7 @@
         return refuse(handoff, RefusalCause::Stopping, retryAfter, turn);
     if (!m_context.configured())
         return;
-    if (!m_context.knows(reserve.service))
+    if (!m_context.hasService(reserve.service))
         return refuse(handoff, RefusalCause::UnknownService, retryAfter, turn);
     const std::optional<RefusalCause> bound = refusalByLimits(reserve);
     if (bound)
@@ -188,12 +188,12 @@
     // The view may be wrong: then the owner runs the request all the same, once, and the caller has
     // been told no more than that nobody knows.
     if (m_context.isGone(token.owner, token.incarnation)) {
-        turn.toCaller(caller,
-                      RequestMessage{OutcomeUnknown{message.request, UnknownCause::OwnerGone}});
+        turn.sendToCaller(caller,
+                          RequestMessage{OutcomeUnknown{message.request, UnknownCause::OwnerGone}});
         return;
     }
     const Endpoint owner = token.ownerAddress;
-    turn.toPeer(owner, OwnerRequest{caller, std::move(message)});
+    turn.sendToPeer(owner, OwnerRequest{caller, std::move(message)});
 }
 
 void RequestOwner::fromPeer(OwnerRequest message, Turn &turn)
@@ -207,8 +207,8 @@
             }
             if (token.owner != m_context.identity.daemon) {
                 // Another daemon was started at the owner's address.
-                turn.toCaller(message.caller, RequestMessage{OutcomeUnknown{
-                                                  body.request, UnknownCause::OwnerGone}});
+                turn.sendToCaller(message.caller, RequestMessage{OutcomeUnknown{
+                                                      body.request, UnknownCause::OwnerGone}});
                 return;
             }
             handleOwned(message.caller, std::forward<decltype(body)>(body), turn);
@@ -222,15 +222,15 @@
     const ReservationToken &token = message.token;
     const RequestId request = message.request;
     if (token.incarnation != m_context.identity.incarnation) {
-        turn.toCaller(caller,
-                      RequestMessage{OutcomeUnknown{request, UnknownCause::OwnerRestarted}});
+        turn.sendToCaller(caller,
+                          RequestMessage{OutcomeUnknown{request, UnknownCause::OwnerRestarted}});
         return;
     }
     RequestRecord *record = m_table.find(request);
     // A copy that comes after its record was dropped finds none, or one of a later reservation: it
     // may have run under the old one, and must not start the new one.
     if (!record || record->token != token) {
-        turn.toCaller(caller, RequestMessage{OutcomeUnknown{request, UnknownCause::Expired}});
+        turn.sendToCaller(caller, RequestMessage{OutcomeUnknown{request, UnknownCause::Expired}});
         return;
     }
     record->caller = caller;
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -13,10 +13,10 @@
     {
         Turn &turn;
         const Endpoint &caller;
-        void operator()(const AcceptFlow &m) const { turn.toCaller(caller, FlowMessage{m}); }
-        void operator()(const RefuseFlow &m) const { turn.toCaller(caller, FlowMessage{m}); }
-        void operator()(const Reserved &m) const { turn.toCaller(caller, RequestMessage{m}); }
-        void operator()(const NotRun &m) const { turn.toCaller(caller, RequestMessage{m}); }
+        void operator()(const AcceptFlow &m) const { turn.sendToCaller(caller, FlowMessage{m}); }
+        void operator()(const RefuseFlow &m) const { turn.sendToCaller(caller, FlowMessage{m}); }
+        void operator()(const Reserved &m) const { turn.sendToCaller(caller, RequestMessage{m}); }
+        void operator()(const NotRun &m) const { turn.sendToCaller(caller, RequestMessage{m}); }
     };
     std::visit(Send{turn, caller}, reply);
 }
@@ -56,7 +56,7 @@
                 return false;
             handoff.hops += forwarded ? 1 : 0;
             handoff.target = choice->target;
-            turn.toPeer(choice->owner, handoff);
+            turn.sendToPeer(choice->owner, handoff);
             return true;
         }
         if (callbacks.offer(handoff, choice->target))
@@ -72,7 +72,7 @@
         return false;
     ++handoff.hops;
     handoff.hints.push_back({handoff.target, WorstLoad, WorstLoad});
-    turn.toPeer(handoff.entry, handoff);
+    turn.sendToPeer(handoff.entry, handoff);
     return true;
 }
 
@@ -83,7 +83,7 @@
         sendToCaller(turn, handoff.caller, reply);
         return;
     }
-    turn.toPeer(handoff.entry, HandoffReply{handoff.caller, handoff.hints, reply});
+    turn.sendToPeer(handoff.entry, HandoffReply{handoff.caller, handoff.hints, reply});
 }
 
 void relayReply(NodeContext &context, Turn &turn, const HandoffReply &reply)
--- a/src/core/traffic/node_context.cpp
+++ b/src/core/traffic/node_context.cpp
@@ -63,22 +63,22 @@
     return found != departed.end() && found->second >= incarnation;
 }
 
-void Turn::toCaller(const Endpoint &caller, FlowMessage message)
+void Turn::sendToCaller(const Endpoint &caller, FlowMessage message)
 {
     add(SendToCaller{caller, CallerMessage{std::move(message)}});
 }
 
-void Turn::toCaller(const Endpoint &caller, RequestMessage message)
+void Turn::sendToCaller(const Endpoint &caller, RequestMessage message)
 {
     add(SendToCaller{caller, CallerMessage{std::move(message)}});
 }
 
-void Turn::toPeer(const Endpoint &peer, PeerMessage message)
+void Turn::sendToPeer(const Endpoint &peer, PeerMessage message)
 {
     add(SendToPeer{peer, std::move(message)});
 }
 
-void Turn::onLink(TargetId target, Generation generation, LinkMessage message)
+void Turn::sendOnLink(TargetId target, Generation generation, LinkMessage message)
 {
     add(SendOnLink{target, generation, std::move(message)});
 }
--- a/src/core/traffic/node_context.h
+++ b/src/core/traffic/node_context.h
@@ -54,7 +54,7 @@
     }
     /// \return A time between half of \a mean and one and a half of it, so that callers that were
     /// refused together don't return together.
-    [[nodiscard]] Duration spread(Duration mean)
+    [[nodiscard]] Duration jittered(Duration mean)
     {
         using Draw = boost::random::uniform_int_distribution<Duration::rep>;
         return Duration{Draw{mean.count() / 2, mean.count() + mean.count() / 2}(random)};
@@ -66,7 +66,7 @@
     [[nodiscard]] bool configured() const noexcept { return !config->revision.isNull(); }
 
     /// \return Whether the configuration has the service.
-    [[nodiscard]] bool knows(ServiceId service) const noexcept
+    [[nodiscard]] bool hasService(ServiceId service) const noexcept
     {
         return config->service(service) != nullptr;
     }
@@ -83,10 +83,10 @@
     {
         out.emplace_back(std::in_place_type<std::decay_t<Action>>, std::forward<Action>(action));
     }
-    void toCaller(const Endpoint &caller, FlowMessage message);
-    void toCaller(const Endpoint &caller, RequestMessage message);
-    void toPeer(const Endpoint &peer, PeerMessage message);
-    void onLink(TargetId target, Generation generation, LinkMessage message);
+    void sendToCaller(const Endpoint &caller, FlowMessage message);
+    void sendToCaller(const Endpoint &caller, RequestMessage message);
+    void sendToPeer(const Endpoint &peer, PeerMessage message);
+    void sendOnLink(TargetId target, Generation generation, LinkMessage message);
     void observe(const Observation &observation);
 };
 
--- a/src/core/traffic/retirement.cpp
+++ b/src/core/traffic/retirement.cpp
@@ -77,7 +77,7 @@
     const TargetName name{{service->workspace, service->name}, config->name};
     turn.add(ProposeCommand{changeId, RemoveTarget{name, config->generation}});
     candidate.backOff = std::clamp<Duration>(candidate.backOff * 2, FirstBackOff, MaxBackOff);
-    candidate.proposeAt = turn.now + m_context.spread(candidate.backOff);
+    candidate.proposeAt = turn.now + m_context.jittered(candidate.backOff);
 }
 
 } // namespace baobabtrail
--- a/src/core/traffic/target_links.cpp
+++ b/src/core/traffic/target_links.cpp
@@ -113,7 +113,7 @@
 
 void TargetLinks::hello(TargetId target, Link &link, Turn &turn)
 {
-    turn.onLink(target, link.generation, LinkHello{link.service, target, link.generation});
+    turn.sendOnLink(target, link.generation, LinkHello{link.service, target, link.generation});
     ++link.unansweredHellos;
     link.helloAt = turn.now + HelloPeriod;
 }
