--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -158,7 +158,7 @@
 
 bool Dispatcher::mayStart(TargetId target, const TargetWork &work, TimePoint now) const noexcept
 {
-    if (!m_links.usable(target))
+    if (!m_links.usableGeneration(target))
         return false;
     // What was reserved before a target began to drain, or passed to another owner, still runs on
     // it; the table counts only targets that take work.
@@ -205,7 +205,7 @@
         return m_outcomes.notRun(record, RefusalCause::DeadlinePassed, Duration{0}, turn);
     }
     const AttemptId attempt{m_nextAttempt++};
-    const Generation generation = *m_links.usable(record.target);
+    const Generation generation = *m_links.usableGeneration(record.target);
     std::string payload = std::move(std::get<QueuedState>(record.state).payload);
     turn.sendOnLink(
         record.target, generation,
@@ -314,7 +314,7 @@
     const std::optional<PlacementChoice> choice = m_context.targets.chooseForRequest(
         record.token.service, record.id, declined, turn.now, m_context.random);
     if (!choice || !choice->own || choice->target == record.target
-        || !m_links.usable(choice->target))
+        || !m_links.usableGeneration(choice->target))
         return std::nullopt;
     return choice->target;
 }
@@ -348,7 +348,8 @@
 {
     std::vector<TargetId> unavailable;
     for (auto &[target, work] : m_work) {
-        const bool open = m_links.usable(target) && m_context.targets.takesWork(target, turn.now);
+        const bool open
+            = m_links.usableGeneration(target) && m_context.targets.takesWork(target, turn.now);
         if (open || work.queue.size() == 0) {
             work.unavailableSince.reset();
             continue;
--- a/src/core/traffic/target_links.cpp
+++ b/src/core/traffic/target_links.cpp
@@ -36,7 +36,7 @@
 {
     const std::map<TargetId, WantedLink> known = connectable(*m_context.config);
     std::vector<TargetId> broken;
-    m_leftovers = 0;
+    m_unownedLinks = 0;
     for (auto it = m_links.begin(); it != m_links.end();) {
         const TargetId target = it->first;
         Link &link = it->second;
@@ -44,15 +44,15 @@
         const bool replaced
             = found != known.end() && found->second.target->generation != link.generation;
         const bool gone = found == known.end() || replaced;
-        const bool wasLeftover
-            = std::exchange(link.leftover, gone || !m_context.targets.owns(target));
-        if (wasLeftover && !link.leftover && link.open)
-            hello(target, link, turn); // What was known of it was dropped with the ownership.
+        const bool wasUnowned
+            = std::exchange(link.unowned, gone || !m_context.targets.owns(target));
+        if (wasUnowned && !link.unowned && link.open)
+            sendHello(target, link, turn); // What was known of it was dropped with the ownership.
         // A cut, or another target under the same name, ends the connection at once: its address
         // may be another service's by now. Otherwise work in progress is finished first.
         const bool cut = m_context.config->target(link.service, target) && gone;
-        if (!cut && (!link.leftover || inUse(target))) {
-            m_leftovers += link.leftover ? 1 : 0;
+        if (!cut && (!link.unowned || inUse(target))) {
+            m_unownedLinks += link.unowned ? 1 : 0;
             ++it;
             continue;
         }
@@ -79,12 +79,12 @@
 
 void TargetLinks::closeIdle(const std::function<bool(TargetId)> &inUse, Turn &turn)
 {
-    if (m_leftovers == 0)
+    if (m_unownedLinks == 0)
         return;
-    m_leftovers = 0;
+    m_unownedLinks = 0;
     for (auto it = m_links.begin(); it != m_links.end();) {
-        const bool kept = !it->second.leftover || inUse(it->first);
-        m_leftovers += kept && it->second.leftover ? 1 : 0;
+        const bool kept = !it->second.unowned || inUse(it->first);
+        m_unownedLinks += kept && it->second.unowned ? 1 : 0;
         if (!kept)
             turn.add(CloseLink{it->first, it->second.generation});
         it = kept ? std::next(it) : m_links.erase(it);
@@ -107,11 +107,11 @@
         return;
     Link &link = m_links.at(target);
     link.open = true;
-    hello(target, link, turn);
+    sendHello(target, link, turn);
     schedule();
 }
 
-void TargetLinks::hello(TargetId target, Link &link, Turn &turn)
+void TargetLinks::sendHello(TargetId target, Link &link, Turn &turn)
 {
     turn.sendOnLink(target, link.generation, LinkHello{link.service, target, link.generation});
     ++link.unansweredHellos;
@@ -135,12 +135,12 @@
 {
     if (!isCurrent(target, generation))
         return false;
-    lose(target, m_links.at(target), turn);
+    markBroken(target, m_links.at(target), turn);
     schedule();
     return true;
 }
 
-void TargetLinks::lose(TargetId target, Link &link, Turn &turn)
+void TargetLinks::markBroken(TargetId target, Link &link, Turn &turn)
 {
     link.open = false;
     link.verified = false;
@@ -161,11 +161,11 @@
         if (!link.open || link.helloAt > turn.now)
             continue;
         if (link.unansweredHellos < MaxUnansweredHellos) {
-            hello(target, link, turn);
+            sendHello(target, link, turn);
             continue;
         }
         turn.add(CloseLink{target, link.generation});
-        lose(target, link, turn);
+        markBroken(target, link, turn);
         broken.push_back(target);
     }
     schedule();
@@ -188,7 +188,7 @@
     return found != m_links.end() && found->second.generation == generation;
 }
 
-std::optional<Generation> TargetLinks::usable(TargetId target) const noexcept
+std::optional<Generation> TargetLinks::usableGeneration(TargetId target) const noexcept
 {
     const auto found = m_links.find(target);
     if (found == m_links.end() || !found->second.verified)
--- a/src/core/traffic/target_links.h
+++ b/src/core/traffic/target_links.h
@@ -38,7 +38,7 @@
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept { return m_nextTimer; }
 
     /// \return The generation that may get work now, or nothing.
-    [[nodiscard]] std::optional<Generation> usable(TargetId target) const noexcept;
+    [[nodiscard]] std::optional<Generation> usableGeneration(TargetId target) const noexcept;
 
 private:
     struct Link
@@ -48,7 +48,7 @@
         Endpoint address;
         bool open = false;
         bool verified = false;
-        bool leftover = false; ///< Not owned any more.
+        bool unowned = false; ///< Not owned any more.
         std::uint32_t unansweredHellos = 0;
         std::optional<TimePoint>
             retryAt; ///< When to open it, where it is neither open nor opening.
@@ -56,13 +56,13 @@
     };
 
     void connect(TargetId target, Link &link, Turn &turn);
-    void hello(TargetId target, Link &link, Turn &turn);
-    void lose(TargetId target, Link &link, Turn &turn);
+    void sendHello(TargetId target, Link &link, Turn &turn);
+    void markBroken(TargetId target, Link &link, Turn &turn);
     void schedule() noexcept;
 
     NodeContext &m_context;
     std::map<TargetId, Link> m_links;
-    std::size_t m_leftovers = 0;
+    std::size_t m_unownedLinks = 0;
     std::optional<TimePoint> m_nextTimer;
 };
 
