--- a/src/core/traffic/retirement.cpp
+++ b/src/core/traffic/retirement.cpp
@@ -10,7 +10,7 @@
 constexpr Duration CheckPeriod = 1s;
 /// How long a target has to stay empty: an open that another daemon offered before it heard of the
 /// retirement may be accepted after the report that says zero.
-constexpr Duration EmptyFor = 5s;
+constexpr Duration MinIdleTime = 5s;
 constexpr Duration FirstBackOff = 5s;
 constexpr Duration MaxBackOff = 60s;
 /// A report older than this says nothing about now.
@@ -44,19 +44,19 @@
         return;
     m_nextCheck = turn.now + CheckPeriod;
     for (auto &[target, candidate] : m_candidates) {
-        if (!holdsNothing(target, candidate, turn.now)) {
-            candidate.emptySince.reset();
+        if (!isIdle(target, candidate, turn.now)) {
+            candidate.idleSince.reset();
             continue;
         }
-        if (!candidate.emptySince)
-            candidate.emptySince = turn.now;
-        if (turn.now < *candidate.emptySince + EmptyFor || turn.now < candidate.proposeAt)
+        if (!candidate.idleSince)
+            candidate.idleSince = turn.now;
+        if (turn.now < *candidate.idleSince + MinIdleTime || turn.now < candidate.proposeAt)
             continue;
         propose(target, candidate, turn);
     }
 }
 
-bool Retirement::holdsNothing(TargetId target, const Candidate &, TimePoint now) const
+bool Retirement::isIdle(TargetId target, const Candidate &, TimePoint now) const
 {
     const std::optional<TargetStatus> status = m_context.targets.status(target, now);
     if (!status || status->health == TargetHealth::Unverified || status->reportAge > MaxReportAge)
--- a/src/core/traffic/retirement.h
+++ b/src/core/traffic/retirement.h
@@ -26,13 +26,12 @@
     struct Candidate
     {
         ServiceId service;
-        std::optional<TimePoint> emptySince;
+        std::optional<TimePoint> idleSince;
         TimePoint proposeAt;
         Duration backOff{0};
     };
 
-    [[nodiscard]] bool holdsNothing(TargetId target, const Candidate &candidate,
-                                    TimePoint now) const;
+    [[nodiscard]] bool isIdle(TargetId target, const Candidate &candidate, TimePoint now) const;
     void propose(TargetId target, Candidate &candidate, Turn &turn);
 
     NodeContext &m_context;
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -12,7 +12,7 @@
 
 /// How long a stopping daemon stays to send answers again, once nothing is in progress.
 constexpr Duration StopLinger = 1s;
-constexpr Duration ShortestWait = 10ms;
+constexpr Duration MinTimerInterval = 10ms;
 
 } // namespace
 
@@ -76,7 +76,7 @@
     if (m_context.stopping)
         stopWhenDone(turn);
     // The table looks at every target for it: too much for each datagram.
-    if (turn.now < m_targetsCheckedAt + ShortestWait)
+    if (turn.now < m_targetsCheckedAt + MinTimerInterval)
         return;
     m_targetsCheckedAt = turn.now;
     m_targetsTimer = m_context.targets.nextTimer();
@@ -219,7 +219,7 @@
     std::optional<TimePoint> next = m_targetsTimer;
     // A probe stays due until an ask comes that can serve as one; the timer must not spin on it.
     if (next)
-        next = std::max(*next, m_advancedAt + ShortestWait);
+        next = std::max(*next, m_advancedAt + MinTimerInterval);
     next = earlier(next, m_flows.nextTimer());
     next = earlier(next, m_requests.nextTimer());
     next = earlier(next, m_links.nextTimer());
