--- a/tests/matrix/cell.h
+++ b/tests/matrix/cell.h
@@ -42,7 +42,7 @@
                                       "retransmission", "drain",       "stop"};
 
 /// \brief A fault and the step at which it strikes.
-struct Strike
+struct FaultInjection
 {
     Fault fault = Fault::None;
     Step step = Step::Open;
@@ -53,7 +53,7 @@
 class Cell
 {
 public:
-    Cell(std::vector<Strike> strikes, std::uint64_t seed);
+    Cell(std::vector<FaultInjection> injections, std::uint64_t seed);
 
     /// \return What was violated; empty where every invariant held.
     [[nodiscard]] std::vector<std::string> run();
@@ -68,14 +68,14 @@
     void startCallers();
     void watch(std::size_t daemon, const TrafficAction &action);
     void reached(Step step, std::optional<std::size_t> daemon, std::optional<TargetId> target);
-    void strike(Fault fault, std::size_t daemon, TargetId target);
+    void inject(Fault fault, std::size_t daemon, TargetId target);
     void drain();
     void stop(std::size_t daemon);
     [[nodiscard]] TargetId ownedBy(std::size_t daemon) const;
     [[nodiscard]] std::size_t indexOf(DaemonId id) const;
 
-    [[nodiscard]] bool struck(std::initializer_list<Fault> faults) const;
-    void checkStrikes();
+    [[nodiscard]] bool injected(std::initializer_list<Fault> faults) const;
+    void checkInjections();
     [[nodiscard]] Duration worstPath() const;
     void checkRequests();
     void checkRequest(const FakeRequest &request);
@@ -89,7 +89,7 @@
         m_net.violations.push_back(text.str());
     }
 
-    std::vector<Strike> m_strikes;
+    std::vector<FaultInjection> m_injections;
     std::set<Step> m_reached;
     FakeNetwork m_net;
     ServiceId m_lending = serviceId("alexandria", "lending");
@@ -105,8 +105,8 @@
     AttemptId m_focalAttempt;
 };
 
-inline Cell::Cell(std::vector<Strike> strikes, std::uint64_t seed)
-    : m_strikes(std::move(strikes))
+inline Cell::Cell(std::vector<FaultInjection> injections, std::uint64_t seed)
+    : m_injections(std::move(injections))
     , m_net(seed)
 {
 }
@@ -171,7 +171,7 @@
             reserve.timeLeft = i % 10 == 3 ? 8s : Deadline;
             FakeRequest &request = m_net.addRequest(reserve);
             request.payloadBytes = i % 5 == 0 ? 3000 : 20;
-            request.askTwice = struck({Fault::TwoReservations}) ? 1 : 0;
+            request.askTwice = injected({Fault::TwoReservations}) ? 1 : 0;
             if (i % 7 == 6)
                 m_net.time.after(15ms, [&request] { request.cancel(); });
         });
@@ -183,7 +183,7 @@
         reserve.timeLeft = Deadline;
         FakeRequest &request = m_net.addRequest(reserve);
         request.payloadBytes = 3000;
-        request.askTwice = struck({Fault::TwoReservations}) ? 1 : 0;
+        request.askTwice = injected({Fault::TwoReservations}) ? 1 : 0;
     });
     time.after(4s, [this] { drain(); });
     time.after(6s, [this] {
@@ -271,15 +271,15 @@
         const Member *owner = m_net.daemons[0].view->ownerOf(*target);
         where = owner ? indexOf(owner->id) : 0;
     }
-    for (const Strike &s : m_strikes) {
+    for (const FaultInjection &s : m_injections) {
         if (s.step == step)
             m_net.time.after(0us, [this, s, where, target] {
-                strike(s.fault, where, target.value_or(ownedBy(where)));
+                inject(s.fault, where, target.value_or(ownedBy(where)));
             });
     }
 }
 
-inline void Cell::strike(Fault fault, std::size_t daemon, TargetId targetId)
+inline void Cell::inject(Fault fault, std::size_t daemon, TargetId targetId)
 {
     VirtualTime &time = m_net.time;
     FakeTarget &target = *m_net.targets.at(targetId);
--- a/tests/matrix/checks.h
+++ b/tests/matrix/checks.h
@@ -17,9 +17,9 @@
         const Answer *answer = request ? std::get_if<Answer>(request) : nullptr;
         if (!answer || answer->request != m_focalRequest)
             return false;
-        const bool wanted = std::any_of(m_strikes.begin(), m_strikes.end(), [](const Strike &s) {
-            return s.step == Step::Retransmission;
-        });
+        const bool wanted
+            = std::any_of(m_injections.begin(), m_injections.end(),
+                          [](const FaultInjection &s) { return s.step == Step::Retransmission; });
         if (!wanted || m_reached.contains(Step::Retransmission))
             return false;
         m_net.time.after(1ms, [this] { reached(Step::Retransmission, m_entry, std::nullopt); });
@@ -28,26 +28,26 @@
     declare();
     startCallers();
     m_net.time.runUntil(m_net.time.now() + 20s);
-    checkStrikes();
+    checkInjections();
     checkRequests();
     checkFlows();
     checkPlans();
     return m_net.violations;
 }
 
-inline bool Cell::struck(std::initializer_list<Fault> faults) const
+inline bool Cell::injected(std::initializer_list<Fault> faults) const
 {
-    return std::any_of(m_strikes.begin(), m_strikes.end(), [&](const Strike &s) {
+    return std::any_of(m_injections.begin(), m_injections.end(), [&](const FaultInjection &s) {
         return std::find(faults.begin(), faults.end(), s.fault) != faults.end();
     });
 }
 
 // A cell whose fault never struck would prove nothing. In a pair the first fault may keep the step
 // of the second from being reached.
-inline void Cell::checkStrikes()
+inline void Cell::checkInjections()
 {
-    for (const Strike &s : m_strikes) {
-        if (m_strikes.size() == 1 && !m_reached.contains(s.step))
+    for (const FaultInjection &s : m_injections) {
+        if (m_injections.size() == 1 && !m_reached.contains(s.step))
             violate("step ", StepNames.at(static_cast<std::size_t>(s.step)), " was not reached");
     }
 }
@@ -58,9 +58,9 @@
 {
     constexpr int Hops = 5;
     Duration hop{600us};
-    if (struck({Fault::Duplicate}))
+    if (injected({Fault::Duplicate}))
         hop = 6ms;
-    if (struck({Fault::Reorder}))
+    if (injected({Fault::Reorder}))
         hop = 31ms;
     return Hops * hop + 2ms;
 }
@@ -90,14 +90,14 @@
     if (request.ending == Ending::Open)
         violate("request ", id, " has no outcome");
 
-    const bool mayBeUnknown = struck({Fault::DaemonKill, Fault::DaemonRestart, Fault::DaemonFreeze,
-                                      Fault::Cut, Fault::Loss, Fault::Delay, Fault::TargetCrash,
-                                      Fault::TargetHang, Fault::TargetCold});
+    const bool mayBeUnknown = injected({Fault::DaemonKill, Fault::DaemonRestart,
+                                        Fault::DaemonFreeze, Fault::Cut, Fault::Loss, Fault::Delay,
+                                        Fault::TargetCrash, Fault::TargetHang, Fault::TargetCold});
     if (request.ending == Ending::Unknown && !mayBeUnknown)
         violate("request ", id, " ended as unknown, cause ", static_cast<int>(request.unknown),
                 ", ", (request.deadline - request.endedAt).count(), " us before its deadline");
-    const bool maySilent = struck({Fault::DaemonKill, Fault::DaemonFreeze, Fault::Cut, Fault::Loss,
-                                   Fault::Delay, Fault::DaemonRestart});
+    const bool maySilent = injected({Fault::DaemonKill, Fault::DaemonFreeze, Fault::Cut,
+                                     Fault::Loss, Fault::Delay, Fault::DaemonRestart});
     if (maySilent)
         return;
     if (request.ending == Ending::Silent)
@@ -109,10 +109,11 @@
 
 inline void Cell::checkFlows()
 {
-    const bool mayBreak = struck({Fault::TargetCrash, Fault::TargetHang, Fault::Cut, Fault::Loss});
+    const bool mayBreak
+        = injected({Fault::TargetCrash, Fault::TargetHang, Fault::Cut, Fault::Loss});
     const TimePoint now = m_net.time.now();
     for (const auto &[caller, flow] : m_net.flows) {
-        const bool silent = struck({Fault::SilentFlow}) && flow->flow.value() % 1000 == 999;
+        const bool silent = injected({Fault::SilentFlow}) && flow->flow.value() % 1000 == 999;
         if (!flow->resets.empty() && !mayBreak && !silent)
             violate("flow ", flow->flow, " was reset, cause ",
                     static_cast<int>(flow->resets.front()));
@@ -131,13 +132,14 @@
 {
     const TargetId drained = m_drained;
     const TimePoint last = m_net.targets.at(drained)->lastNewWork;
-    const Duration published = struck({Fault::Revisions}) ? 3s : 1s;
-    const bool late = struck({Fault::DaemonFreeze});
+    const Duration published = injected({Fault::Revisions}) ? 3s : 1s;
+    const bool late = injected({Fault::DaemonFreeze});
     if (!late && last > m_drainedAt + published + 3s)
         violate("the draining target got new work ", (last - m_drainedAt).count(),
                 " us after the drain");
     const FakeNetwork::Daemon &stopping = m_net.daemons[StoppingDaemon];
-    const bool mayNotStop = struck({Fault::DaemonKill, Fault::DaemonRestart, Fault::DaemonFreeze});
+    const bool mayNotStop
+        = injected({Fault::DaemonKill, Fault::DaemonRestart, Fault::DaemonFreeze});
     if (!mayNotStop && !stopping.stoppedAt)
         violate("the stopping daemon has not stopped");
     for (const FakeNetwork::Daemon &daemon : m_net.daemons) {
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -16,26 +16,26 @@
 
 namespace {
 
-[[nodiscard]] std::string nameOf(const std::vector<Strike> &strikes, std::uint64_t seed)
+[[nodiscard]] std::string nameOf(const std::vector<FaultInjection> &injections, std::uint64_t seed)
 {
     std::string name;
-    for (const Strike &strike : strikes) {
+    for (const FaultInjection &inject : injections) {
         name += name.empty() ? "" : "+";
-        name += FaultNames.at(static_cast<std::size_t>(strike.fault));
+        name += FaultNames.at(static_cast<std::size_t>(inject.fault));
         name += "/";
-        name += StepNames.at(static_cast<std::size_t>(strike.step));
+        name += StepNames.at(static_cast<std::size_t>(inject.step));
     }
     return name + "/" + std::to_string(seed);
 }
 
 /// \return Whether the cell held, or was not selected.
-[[nodiscard]] bool holds(const std::vector<Strike> &strikes, std::uint64_t seed)
+[[nodiscard]] bool holds(const std::vector<FaultInjection> &injections, std::uint64_t seed)
 {
-    const std::string name = nameOf(strikes, seed);
+    const std::string name = nameOf(injections, seed);
     const char *selected = std::getenv("BAOBABTRAIL_CELL");
     if (selected && name != selected)
         return true;
-    const std::vector<std::string> violations = Cell{strikes, seed}.run();
+    const std::vector<std::string> violations = Cell{injections, seed}.run();
     if (violations.empty())
         return true;
     cr_log_error("cell %s: %zu violations; again: BAOBABTRAIL_CELL=%s build/release/test-matrix",
@@ -71,8 +71,8 @@
     int failed = 0;
     for (std::size_t step = 0; step < StepNames.size(); ++step) {
         for (std::uint64_t seed = 1; seed <= SeedsPerCell * seedFactor(); ++seed) {
-            const Strike strike{static_cast<Fault>(*fault), static_cast<Step>(step)};
-            failed += holds({strike}, seed) ? 0 : 1;
+            const FaultInjection inject{static_cast<Fault>(*fault), static_cast<Step>(step)};
+            failed += holds({inject}, seed) ? 0 : 1;
         }
     }
     cr_assert(failed == 0, "%d cells of %s failed", failed, FaultNames.at(std::size_t(*fault)));
@@ -97,12 +97,12 @@
         const auto draw = [&](std::size_t count) {
             return boost::random::uniform_int_distribution<std::size_t>{0, count - 1}(random);
         };
-        std::vector<Strike> strikes;
+        std::vector<FaultInjection> injections;
         for (int s = 0; s < 2; ++s) {
             const auto fault = static_cast<Fault>(1 + draw(FaultNames.size() - 1));
-            strikes.push_back({fault, static_cast<Step>(draw(StepNames.size()))});
+            injections.push_back({fault, static_cast<Step>(draw(StepNames.size()))});
         }
-        failed += holds(strikes, seed) ? 0 : 1;
+        failed += holds(injections, seed) ? 0 : 1;
     }
     cr_assert(failed == 0, "%d pairs failed", failed);
 }
--- a/tests/matrix/unknown_after_shed_test.cpp
+++ b/tests/matrix/unknown_after_shed_test.cpp
@@ -11,14 +11,14 @@
 // it behind the work of the new one.
 Test(matrix, nothingEndsAsUnknownAfterShedding)
 {
-    const Strike answer{Fault::TargetShedding, Step::Answer};
-    const Strike open{Fault::TargetShedding, Step::Open};
-    const std::vector<std::pair<std::vector<Strike>, std::uint64_t>> cells{
+    const FaultInjection answer{Fault::TargetShedding, Step::Answer};
+    const FaultInjection open{Fault::TargetShedding, Step::Open};
+    const std::vector<std::pair<std::vector<FaultInjection>, std::uint64_t>> cells{
         {{answer}, 11},
         {{answer, {Fault::SilentFlow, Step::Answer}}, 1667},
         {{{Fault::TwoReservations, Step::Established}, open}, 2478}};
-    for (const auto &[strikes, seed] : cells) {
-        for (const std::string &violation : Cell{strikes, seed}.run())
+    for (const auto &[injections, seed] : cells) {
+        for (const std::string &violation : Cell{injections, seed}.run())
             cr_expect(false, "seed %lu: %s", seed, violation.c_str());
     }
 }
