--- a/tests/matrix/cell.h
+++ b/tests/matrix/cell.h
@@ -63,26 +63,26 @@
     static constexpr Duration Deadline = 1500ms;
     static constexpr std::size_t StoppingDaemon = 3;
 
-    void declare();
+    void setUpServices();
     [[nodiscard]] std::shared_ptr<Config> nextConfig() const;
     void startCallers();
-    void watch(std::size_t daemon, const TrafficAction &action);
-    void reached(Step step, std::optional<std::size_t> daemon, std::optional<TargetId> target);
+    void observeAction(std::size_t daemon, const TrafficAction &action);
+    void reachStep(Step step, std::optional<std::size_t> daemon, std::optional<TargetId> target);
     void inject(Fault fault, std::size_t daemon, TargetId target);
     void drain();
     void stop(std::size_t daemon);
-    [[nodiscard]] TargetId ownedBy(std::size_t daemon) const;
-    [[nodiscard]] std::size_t indexOf(DaemonId id) const;
+    [[nodiscard]] TargetId targetOwnedBy(std::size_t daemon) const;
+    [[nodiscard]] std::size_t daemonIndex(DaemonId id) const;
 
     [[nodiscard]] bool injected(std::initializer_list<Fault> faults) const;
     void checkInjections();
-    [[nodiscard]] Duration worstPath() const;
+    [[nodiscard]] Duration maxPathDelay() const;
     void checkRequests();
     void checkRequest(const FakeRequest &request);
     void checkFlows();
-    void checkPlans();
+    void checkPlannedChanges();
     template <typename... Parts>
-    void violate(const Parts &...parts)
+    void addViolation(const Parts &...parts)
     {
         std::ostringstream text;
         (text << ... << parts);
@@ -96,7 +96,7 @@
     ServiceId m_catalogue = serviceId("alexandria", "catalogue");
     std::shared_ptr<Config> m_config;
     std::map<std::size_t, MemberState> m_states;
-    std::size_t m_entry = 0; ///< Where the focal request was dispatched from.
+    std::size_t m_focalDaemon = 0; ///< Where the focal request was dispatched from.
     bool m_rotating = false;
     TargetId m_drained;
     TimePoint m_drainedAt{};
@@ -118,7 +118,7 @@
     return config;
 }
 
-inline void Cell::declare()
+inline void Cell::setUpServices()
 {
     m_config = std::make_shared<Config>();
     m_config->revision = Revision{10};
@@ -187,7 +187,7 @@
     });
     time.after(4s, [this] { drain(); });
     time.after(6s, [this] {
-        reached(Step::Stop, StoppingDaemon, ownedBy(StoppingDaemon));
+        reachStep(Step::Stop, StoppingDaemon, targetOwnedBy(StoppingDaemon));
         stop(StoppingDaemon);
     });
 }
@@ -198,7 +198,7 @@
     m_config->services[m_lending].targets[m_drained].state = TargetState::Draining;
     m_drainedAt = m_net.time.now();
     m_net.publish(m_config, 1s);
-    reached(Step::Drain, std::nullopt, m_drained);
+    reachStep(Step::Drain, std::nullopt, m_drained);
 }
 
 inline void Cell::stop(std::size_t daemon)
@@ -210,7 +210,7 @@
     m_net.publishView(m_states, 1s);
 }
 
-inline TargetId Cell::ownedBy(std::size_t daemon) const
+inline TargetId Cell::targetOwnedBy(std::size_t daemon) const
 {
     const View &view = *m_net.daemons[daemon].view;
     for (const auto &[id, target] : m_config->services.at(m_lending).targets) {
@@ -221,13 +221,13 @@
     return m_drained;
 }
 
-inline std::size_t Cell::indexOf(DaemonId id) const
+inline std::size_t Cell::daemonIndex(DaemonId id) const
 {
     return id.value() - 100;
 }
 
 /// Recognizes the steps of the focal flow and request by what the daemons send for them.
-inline void Cell::watch(std::size_t daemon, const TrafficAction &action)
+inline void Cell::observeAction(std::size_t daemon, const TrafficAction &action)
 {
     if (const SendToTarget *toTarget = std::get_if<SendToTarget>(&action)) {
         const TargetId target = toTarget->datagram.token.target;
@@ -235,46 +235,46 @@
         if (std::visit([](const auto &m) { return m.flow; }, body) != m_focalFlow)
             return;
         if (std::holds_alternative<OpenFlow>(body))
-            reached(Step::Open, daemon, target);
+            reachStep(Step::Open, daemon, target);
         else if (std::holds_alternative<FlowData>(body))
-            reached(Step::Established, daemon, target);
+            reachStep(Step::Established, daemon, target);
     } else if (const SendOnLink *onLink = std::get_if<SendOnLink>(&action)) {
         const Dispatch *dispatch = std::get_if<Dispatch>(&onLink->message);
         if (!dispatch || dispatch->request != m_focalRequest)
             return;
         m_focalAttempt = dispatch->attempt;
-        m_entry = daemon;
-        reached(Step::Dispatch, daemon, onLink->target);
+        m_focalDaemon = daemon;
+        reachStep(Step::Dispatch, daemon, onLink->target);
         m_net.time.after(ServiceTime / 2, [this, daemon, target = onLink->target] {
-            reached(Step::Running, daemon, target);
+            reachStep(Step::Running, daemon, target);
         });
     } else if (const SendToPeer *toPeer = std::get_if<SendToPeer>(&action)) {
         const HandoffReply *reply = std::get_if<HandoffReply>(&toPeer->message);
         const Reserved *reserved = reply ? std::get_if<Reserved>(&reply->reply) : nullptr;
         if (reserved && reserved->request == m_focalRequest)
-            reached(Step::Reservation, daemon, std::nullopt);
+            reachStep(Step::Reservation, daemon, std::nullopt);
     } else if (const SendToCaller *toCaller = std::get_if<SendToCaller>(&action)) {
         const RequestMessage *message = std::get_if<RequestMessage>(&toCaller->message);
         const Reserved *reserved = message ? std::get_if<Reserved>(message) : nullptr;
         if (reserved && reserved->request == m_focalRequest)
-            reached(Step::Reservation, indexOf(reserved->token.owner), std::nullopt);
+            reachStep(Step::Reservation, daemonIndex(reserved->token.owner), std::nullopt);
     }
 }
 
-inline void Cell::reached(Step step, std::optional<std::size_t> daemon,
-                          std::optional<TargetId> target)
+inline void Cell::reachStep(Step step, std::optional<std::size_t> daemon,
+                            std::optional<TargetId> target)
 {
     if (!m_reached.insert(step).second)
         return;
     std::size_t where = daemon.value_or(0);
     if (!daemon && target) {
         const Member *owner = m_net.daemons[0].view->ownerOf(*target);
-        where = owner ? indexOf(owner->id) : 0;
+        where = owner ? daemonIndex(owner->id) : 0;
     }
     for (const FaultInjection &s : m_injections) {
         if (s.step == step)
             m_net.time.after(0us, [this, s, where, target] {
-                inject(s.fault, where, target.value_or(ownedBy(where)));
+                inject(s.fault, where, target.value_or(targetOwnedBy(where)));
             });
     }
 }
@@ -283,7 +283,7 @@
 {
     VirtualTime &time = m_net.time;
     FakeTarget &target = *m_net.targets.at(targetId);
-    const auto forAWhile = [&](Weather weather, Duration howLong) {
+    const auto setWeatherFor = [&](Weather weather, Duration howLong) {
         m_net.weather = weather;
         time.after(howLong, [this] { m_net.weather = {}; });
     };
@@ -318,13 +318,13 @@
         time.after(3s, [this] { m_net.cuts.clear(); });
         return;
     case Fault::Loss:
-        return forAWhile({.loss = 0.25}, 2s);
+        return setWeatherFor({.loss = 0.25}, 2s);
     case Fault::Duplicate:
-        return forAWhile({.duplicate = 0.5, .jitter = 5ms}, 3s);
+        return setWeatherFor({.duplicate = 0.5, .jitter = 5ms}, 3s);
     case Fault::Delay:
-        return forAWhile({.delay = 60ms}, 2s);
+        return setWeatherFor({.delay = 60ms}, 2s);
     case Fault::Reorder:
-        return forAWhile({.jitter = 30ms}, 3s);
+        return setWeatherFor({.jitter = 30ms}, 3s);
     case Fault::TargetCrash:
         return m_net.crash(targetId);
     case Fault::TargetHang:
--- a/tests/matrix/checks.h
+++ b/tests/matrix/checks.h
@@ -6,11 +6,12 @@
 
 inline std::vector<std::string> Cell::run()
 {
-    m_net.onAction = [this](std::size_t daemon, const TrafficAction &a) { watch(daemon, a); };
+    m_net.onAction
+        = [this](std::size_t daemon, const TrafficAction &a) { observeAction(daemon, a); };
     m_net.onTargetReply = [this](TargetId target, const LinkMessage &message) {
         const AttemptDone *done = std::get_if<AttemptDone>(&message);
         if (done && done->attempt == m_focalAttempt)
-            reached(Step::Answer, m_entry, target);
+            reachStep(Step::Answer, m_focalDaemon, target);
     };
     m_net.loseToCaller = [this](const CallerMessage &message) {
         const RequestMessage *request = std::get_if<RequestMessage>(&message);
@@ -22,16 +23,17 @@
                           [](const FaultInjection &s) { return s.step == Step::Retransmission; });
         if (!wanted || m_reached.contains(Step::Retransmission))
             return false;
-        m_net.time.after(1ms, [this] { reached(Step::Retransmission, m_entry, std::nullopt); });
+        m_net.time.after(1ms,
+                         [this] { reachStep(Step::Retransmission, m_focalDaemon, std::nullopt); });
         return true;
     };
-    declare();
+    setUpServices();
     startCallers();
     m_net.time.runUntil(m_net.time.now() + 20s);
     checkInjections();
     checkRequests();
     checkFlows();
-    checkPlans();
+    checkPlannedChanges();
     return m_net.violations;
 }
 
@@ -48,13 +50,14 @@
 {
     for (const FaultInjection &s : m_injections) {
         if (m_injections.size() == 1 && !m_reached.contains(s.step))
-            violate("step ", StepNames.at(static_cast<std::size_t>(s.step)), " was not reached");
+            addViolation("step ", StepNames.at(static_cast<std::size_t>(s.step)),
+                         " was not reached");
     }
 }
 
 // The owner counts the deadline from the arrival of the Reserve: entry, two forwards and the owner
 // are four hops away from the caller, the outcome one.
-inline Duration Cell::worstPath() const
+inline Duration Cell::maxPathDelay() const
 {
     constexpr int Hops = 5;
     Duration hop{600us};
@@ -80,31 +83,31 @@
         runs += found == fake->runs.end() ? 0 : found->second;
     }
     if (!request.reserve.idempotent && runs > 1)
-        violate("request ", id, " ran ", runs, " times");
+        addViolation("request ", id, " ran ", runs, " times");
     if (request.ending == Ending::NotRun && runs > 0)
-        violate("request ", id, " was refused as not run and ran");
+        addViolation("request ", id, " was refused as not run and ran");
     if (request.ending == Ending::Answered && runs == 0)
-        violate("request ", id, " was answered and never ran");
+        addViolation("request ", id, " was answered and never ran");
     if (request.ending == Ending::Answered && request.answer != "done " + request.payload())
-        violate("request ", id, " got another answer than its own, or not the whole of it");
+        addViolation("request ", id, " got another answer than its own, or not the whole of it");
     if (request.ending == Ending::Open)
-        violate("request ", id, " has no outcome");
+        addViolation("request ", id, " has no outcome");
 
     const bool mayBeUnknown = injected({Fault::DaemonKill, Fault::DaemonRestart,
                                         Fault::DaemonFreeze, Fault::Cut, Fault::Loss, Fault::Delay,
                                         Fault::TargetCrash, Fault::TargetHang, Fault::TargetCold});
     if (request.ending == Ending::Unknown && !mayBeUnknown)
-        violate("request ", id, " ended as unknown, cause ", static_cast<int>(request.unknown),
-                ", ", (request.deadline - request.endedAt).count(), " us before its deadline");
-    const bool maySilent = injected({Fault::DaemonKill, Fault::DaemonFreeze, Fault::Cut,
-                                     Fault::Loss, Fault::Delay, Fault::DaemonRestart});
-    if (maySilent)
+        addViolation("request ", id, " ended as unknown, cause ", static_cast<int>(request.unknown),
+                     ", ", (request.deadline - request.endedAt).count(), " us before its deadline");
+    const bool mayBeSilent = injected({Fault::DaemonKill, Fault::DaemonFreeze, Fault::Cut,
+                                       Fault::Loss, Fault::Delay, Fault::DaemonRestart});
+    if (mayBeSilent)
         return;
     if (request.ending == Ending::Silent)
-        violate("request ", id, " got no outcome at its deadline");
-    else if (request.endedAt > request.deadline + worstPath())
-        violate("request ", id, " got its outcome ", (request.endedAt - request.deadline).count(),
-                " us after its deadline");
+        addViolation("request ", id, " got no outcome at its deadline");
+    else if (request.endedAt > request.deadline + maxPathDelay())
+        addViolation("request ", id, " got its outcome ",
+                     (request.endedAt - request.deadline).count(), " us after its deadline");
 }
 
 inline void Cell::checkFlows()
@@ -115,36 +118,36 @@
     for (const auto &[caller, flow] : m_net.flows) {
         const bool silent = injected({Fault::SilentFlow}) && flow->flow.value() % 1000 == 999;
         if (!flow->resets.empty() && !mayBreak && !silent)
-            violate("flow ", flow->flow, " was reset, cause ",
-                    static_cast<int>(flow->resets.front()));
+            addViolation("flow ", flow->flow, " was reset, cause ",
+                         static_cast<int>(flow->resets.front()));
         if (!flow->token || now - flow->lastEcho > 2s)
-            violate("flow ", flow->flow, " does not work at the end");
+            addViolation("flow ", flow->flow, " does not work at the end");
         if (flow->strangeEchoes > 0)
-            violate("flow ", flow->flow, " got data that is not its own");
+            addViolation("flow ", flow->flow, " got data that is not its own");
     }
     for (const auto &[id, target] : m_net.targets) {
         for (const std::string &stranger : target->strangers)
-            violate("target ", target->config.name, " got another service's ", stranger);
+            addViolation("target ", target->config.name, " got another service's ", stranger);
     }
 }
 
-inline void Cell::checkPlans()
+inline void Cell::checkPlannedChanges()
 {
     const TargetId drained = m_drained;
     const TimePoint last = m_net.targets.at(drained)->lastNewWork;
     const Duration published = injected({Fault::Revisions}) ? 3s : 1s;
     const bool late = injected({Fault::DaemonFreeze});
     if (!late && last > m_drainedAt + published + 3s)
-        violate("the draining target got new work ", (last - m_drainedAt).count(),
-                " us after the drain");
+        addViolation("the draining target got new work ", (last - m_drainedAt).count(),
+                     " us after the drain");
     const FakeNetwork::Daemon &stopping = m_net.daemons[StoppingDaemon];
     const bool mayNotStop
         = injected({Fault::DaemonKill, Fault::DaemonRestart, Fault::DaemonFreeze});
     if (!mayNotStop && !stopping.stoppedAt)
-        violate("the stopping daemon has not stopped");
+        addViolation("the stopping daemon has not stopped");
     for (const FakeNetwork::Daemon &daemon : m_net.daemons) {
         if (daemon.alive && daemon.node->counts().runningAttempts > 0)
-            violate("daemon ", daemon.identity.daemon, " still counts running attempts");
+            addViolation("daemon ", daemon.identity.daemon, " still counts running attempts");
     }
 }
 
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -29,7 +29,7 @@
 }
 
 /// \return Whether the cell held, or was not selected.
-[[nodiscard]] bool holds(const std::vector<FaultInjection> &injections, std::uint64_t seed)
+[[nodiscard]] bool passes(const std::vector<FaultInjection> &injections, std::uint64_t seed)
 {
     const std::string name = nameOf(injections, seed);
     const char *selected = std::getenv("BAOBABTRAIL_CELL");
@@ -40,8 +40,8 @@
         return true;
     cr_log_error("cell %s: %zu violations; again: BAOBABTRAIL_CELL=%s build/release/test-matrix",
                  name.c_str(), violations.size(), name.c_str());
-    constexpr std::size_t MostPrinted = 4;
-    for (std::size_t i = 0; i < std::min(MostPrinted, violations.size()); ++i)
+    constexpr std::size_t MaxPrinted = 4;
+    for (std::size_t i = 0; i < std::min(MaxPrinted, violations.size()); ++i)
         cr_log_error("    %s", violations[i].c_str());
     return false;
 }
@@ -72,7 +72,7 @@
     for (std::size_t step = 0; step < StepNames.size(); ++step) {
         for (std::uint64_t seed = 1; seed <= SeedsPerCell * seedFactor(); ++seed) {
             const FaultInjection inject{static_cast<Fault>(*fault), static_cast<Step>(step)};
-            failed += holds({inject}, seed) ? 0 : 1;
+            failed += passes({inject}, seed) ? 0 : 1;
         }
     }
     cr_assert(failed == 0, "%d cells of %s failed", failed, FaultNames.at(std::size_t(*fault)));
@@ -102,15 +102,15 @@
             const auto fault = static_cast<Fault>(1 + draw(FaultNames.size() - 1));
             injections.push_back({fault, static_cast<Step>(draw(StepNames.size()))});
         }
-        failed += holds(injections, seed) ? 0 : 1;
+        failed += passes(injections, seed) ? 0 : 1;
     }
     cr_assert(failed == 0, "%d pairs failed", failed);
 }
 
 // Seeds outside the suite's own range that showed a fault once: a request at a target that had shed
 // ended as unknown at its deadline, where "not run" is expected.
-Test(matrix, seedsThatOnceShowedAFault)
+Test(matrix, regressionSeeds)
 {
-    cr_expect(holds({{Fault::TargetShedding, Step::Open}}, 32));
-    cr_expect(holds({{Fault::TargetShedding, Step::Answer}}, 38));
+    cr_expect(passes({{Fault::TargetShedding, Step::Open}}, 32));
+    cr_expect(passes({{Fault::TargetShedding, Step::Answer}}, 38));
 }
