--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -19,11 +19,11 @@
 [[nodiscard]] std::string nameOf(const std::vector<FaultInjection> &injections, std::uint64_t seed)
 {
     std::string name;
-    for (const FaultInjection &inject : injections) {
+    for (const FaultInjection &injection : injections) {
         name += name.empty() ? "" : "+";
-        name += FaultNames.at(static_cast<std::size_t>(inject.fault));
+        name += FaultNames.at(static_cast<std::size_t>(injection.fault));
         name += "/";
-        name += StepNames.at(static_cast<std::size_t>(inject.step));
+        name += StepNames.at(static_cast<std::size_t>(injection.step));
     }
     return name + "/" + std::to_string(seed);
 }
@@ -71,8 +71,8 @@
     int failed = 0;
     for (std::size_t step = 0; step < StepNames.size(); ++step) {
         for (std::uint64_t seed = 1; seed <= SeedsPerCell * seedFactor(); ++seed) {
-            const FaultInjection inject{static_cast<Fault>(*fault), static_cast<Step>(step)};
-            failed += passes({inject}, seed) ? 0 : 1;
+            const FaultInjection injection{static_cast<Fault>(*fault), static_cast<Step>(step)};
+            failed += passes({injection}, seed) ? 0 : 1;
         }
     }
     cr_assert(failed == 0, "%d cells of %s failed", failed, FaultNames.at(std::size_t(*fault)));
