--- a/tests/requests/change_test.cpp
+++ b/tests/requests/change_test.cpp
@@ -9,61 +9,61 @@
 // answered; the waiting one must not start there after a few seconds, so it is refused by then.
 Test(requestChange, emptiesTheQueueOfADrainingTarget)
 {
-    NodeRig rig;
-    const auto running = rig.start(rig.ask(1, 30s));
-    cr_assert(!rig.start(rig.ask(2, 30s)));
-    rig.target().state = TargetState::Draining;
-    rig.publish();
-    cr_assert(!rig.reserve(rig.ask(3)));
-    rig.pass(3s);
-    cr_assert_eq(rig.toCaller<NotRun>().at(0).request.low, 2);
-    rig.done(*running);
-    cr_assert_eq(rig.toCaller<Answer>().size(), 1);
-    cr_assert(rig.onLinks<Dispatch>().empty());
+    NodeRig fixture;
+    const auto running = fixture.start(fixture.ask(1, 30s));
+    cr_assert(!fixture.start(fixture.ask(2, 30s)));
+    fixture.target().state = TargetState::Draining;
+    fixture.publish();
+    cr_assert(!fixture.reserve(fixture.ask(3)));
+    fixture.pass(3s);
+    cr_assert_eq(fixture.toCaller<NotRun>().at(0).request.low, 2);
+    fixture.done(*running);
+    cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
+    cr_assert(fixture.onLinks<Dispatch>().empty());
 }
 
 // Another target of the service is there: what waits moves to it instead of being refused.
 Test(requestChange, movesTheQueueToAnotherTarget)
 {
-    NodeRig rig{2};
+    NodeRig fixture{2};
     std::vector<std::pair<TargetId, Dispatch>> running;
     for (std::uint64_t id = 1; id <= 3; ++id) {
-        if (const auto dispatch = rig.start(rig.ask(id, 30s)))
+        if (const auto dispatch = fixture.start(fixture.ask(id, 30s)))
             running.push_back(*dispatch);
     }
     cr_assert_eq(running.size(), 2);
-    rig.target("t0").state = TargetState::Draining;
-    rig.target("t1").state = TargetState::Draining;
-    rig.publish();
-    const auto &other = running.front().first == rig.target("t0").id ? "t0" : "t1";
-    rig.pass(1s);
-    rig.target(other).state = TargetState::Active;
-    rig.publish();
-    rig.done(running.front());
-    rig.pass(3s);
-    cr_assert(rig.toCaller<NotRun>().empty());
-    cr_assert_eq(rig.node.counts().runningAttempts, 2);
+    fixture.target("t0").state = TargetState::Draining;
+    fixture.target("t1").state = TargetState::Draining;
+    fixture.publish();
+    const auto &other = running.front().first == fixture.target("t0").id ? "t0" : "t1";
+    fixture.pass(1s);
+    fixture.target(other).state = TargetState::Active;
+    fixture.publish();
+    fixture.done(running.front());
+    fixture.pass(3s);
+    cr_assert(fixture.toCaller<NotRun>().empty());
+    cr_assert_eq(fixture.node.counts().runningAttempts, 2);
 }
 
 // The target passes to another daemon while its request runs and one more is reserved. Both end
 // here; then the link is closed, not before.
 Test(requestChange, finishesWorkOnATargetThatItNoLongerOwns)
 {
-    NodeRig rig;
-    const auto running = rig.start(rig.ask(1, 30s));
-    const auto reserved = rig.reserve(rig.ask(2, 30s));
-    rig.view.members.front().state = MemberState::Leaving;
-    rig.handle(ViewChanged{std::make_shared<View>(rig.view)});
-    cr_assert(rig.all<CloseLink>().empty());
-    rig.send(2, *reserved);
-    rig.done(*running);
-    cr_assert_eq(rig.toCaller<Answer>().size(), 1);
-    const auto next = rig.onLinks<Dispatch>();
+    NodeRig fixture;
+    const auto running = fixture.start(fixture.ask(1, 30s));
+    const auto reserved = fixture.reserve(fixture.ask(2, 30s));
+    fixture.view.members.front().state = MemberState::Leaving;
+    fixture.handle(ViewChanged{std::make_shared<View>(fixture.view)});
+    cr_assert(fixture.all<CloseLink>().empty());
+    fixture.send(2, *reserved);
+    fixture.done(*running);
+    cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
+    const auto next = fixture.onLinks<Dispatch>();
     cr_assert_eq(next.size(), 1);
-    cr_assert(rig.all<CloseLink>().empty());
-    rig.done(next.front());
-    cr_assert_eq(rig.toCaller<Answer>().size(), 1);
-    cr_assert_eq(rig.all<CloseLink>().size(), 1);
+    cr_assert(fixture.all<CloseLink>().empty());
+    fixture.done(next.front());
+    cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
+    cr_assert_eq(fixture.all<CloseLink>().size(), 1);
 }
 
 // A target passes to another daemon, which fills its slots before this one has heard of it. A
@@ -73,30 +73,30 @@
 Test(requestChange, startsNothingBehindTheNewOwnersWorkThatCannotEndInTime)
 {
     for (const std::uint32_t othersQueued : {0U, 1U}) {
-        NodeRig rig;
-        const auto running = rig.start(rig.ask(1, 30s));
-        const auto reserved = rig.reserve(rig.ask(2, 250ms));
-        rig.send(2, *reserved);
-        rig.pass(100ms);
-        rig.fromLink(running->first,
-                     AttemptDone{running->second.attempt, {0, othersQueued, 0}, "done"});
+        NodeRig fixture;
+        const auto running = fixture.start(fixture.ask(1, 30s));
+        const auto reserved = fixture.reserve(fixture.ask(2, 250ms));
+        fixture.send(2, *reserved);
+        fixture.pass(100ms);
+        fixture.fromLink(running->first,
+                         AttemptDone{running->second.attempt, {0, othersQueued, 0}, "done"});
         const bool starts = othersQueued == 0;
-        cr_assert_eq(rig.onLinks<Dispatch>().size(), starts ? 1 : 0);
-        cr_assert_eq(rig.toCaller<NotRun>().size(), starts ? 0 : 1);
+        cr_assert_eq(fixture.onLinks<Dispatch>().size(), starts ? 1 : 0);
+        cr_assert_eq(fixture.toCaller<NotRun>().size(), starts ? 0 : 1);
     }
 }
 
 // A cut is explicit: the link closes at once, what runs ends as unknown, what waits as not run.
 Test(requestChange, cutEndsEverythingAtOnce)
 {
-    NodeRig rig;
-    cr_assert(rig.start(rig.ask(1, 30s)).has_value());
-    cr_assert(!rig.start(rig.ask(2, 30s)));
-    rig.target().state = TargetState::Cut;
-    rig.publish();
-    cr_assert_eq(rig.all<CloseLink>().size(), 1);
-    cr_assert_eq(rig.toCaller<OutcomeUnknown>().at(0).request.low, 1);
-    cr_assert_eq(rig.toCaller<NotRun>().at(0).request.low, 2);
+    NodeRig fixture;
+    cr_assert(fixture.start(fixture.ask(1, 30s)).has_value());
+    cr_assert(!fixture.start(fixture.ask(2, 30s)));
+    fixture.target().state = TargetState::Cut;
+    fixture.publish();
+    cr_assert_eq(fixture.all<CloseLink>().size(), 1);
+    cr_assert_eq(fixture.toCaller<OutcomeUnknown>().at(0).request.low, 1);
+    cr_assert_eq(fixture.toCaller<NotRun>().at(0).request.low, 2);
 }
 
 // The address of a target serves another service by now, which the configuration on its way will
@@ -104,15 +104,15 @@
 // nothing more.
 Test(requestChange, sendsNothingToATargetThatServesAnotherService)
 {
-    NodeRig rig{1, 2};
-    const TargetId id = rig.target().id;
+    NodeRig fixture{1, 2};
+    const TargetId id = fixture.target().id;
     const ServiceId other = serviceId("alexandria", "catalogue");
-    cr_assert(rig.start(rig.ask(1)).has_value());
-    const auto token = rig.reserve(rig.ask(2));
-    rig.fromLink(id, LinkHelloReply{other, {}});
-    rig.send(2, *token);
-    cr_assert(rig.onLinks<Dispatch>().empty());
-    cr_assert(!rig.reserve(rig.ask(3)));
+    cr_assert(fixture.start(fixture.ask(1)).has_value());
+    const auto token = fixture.reserve(fixture.ask(2));
+    fixture.fromLink(id, LinkHelloReply{other, {}});
+    fixture.send(2, *token);
+    cr_assert(fixture.onLinks<Dispatch>().empty());
+    cr_assert(!fixture.reserve(fixture.ask(3)));
 
     // Also while it drains, when what waits may still start there.
     NodeRig draining;
@@ -132,50 +132,50 @@
 }
 
 // A target answers with the attempt of another target, as one that mixes up its connections may.
-Test(requestChange, takesAnAnswerOnlyFromTheTargetThatGotTheAttempt)
+Test(requestChange, acceptsAnAnswerOnlyFromTheTargetOfTheAttempt)
 {
-    NodeRig rig{2};
-    const auto dispatch = rig.start(rig.ask(1));
-    const bool isFirst = dispatch->first == rig.target("t0").id;
-    const TargetId other = rig.target(isFirst ? "t1" : "t0").id;
-    rig.done({other, dispatch->second});
-    cr_assert(rig.toCaller<Answer>().empty());
-    rig.handle(FromLink{dispatch->first, Generation{4},
-                        AttemptDone{dispatch->second.attempt, {}, "of an earlier generation"}});
-    cr_assert(rig.toCaller<Answer>().empty());
-    rig.done(*dispatch);
-    cr_assert_eq(rig.toCaller<Answer>().size(), 1);
+    NodeRig fixture{2};
+    const auto dispatch = fixture.start(fixture.ask(1));
+    const bool isFirst = dispatch->first == fixture.target("t0").id;
+    const TargetId other = fixture.target(isFirst ? "t1" : "t0").id;
+    fixture.done({other, dispatch->second});
+    cr_assert(fixture.toCaller<Answer>().empty());
+    fixture.handle(FromLink{dispatch->first, Generation{4},
+                            AttemptDone{dispatch->second.attempt, {}, "of an earlier generation"}});
+    cr_assert(fixture.toCaller<Answer>().empty());
+    fixture.done(*dispatch);
+    cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
 }
 
 // A planned stop: one request runs, one waits, one is reserved. All are answered, new ones are sent
 // to come back, the last answer can be asked for again, and only then is the stop complete.
 Test(requestChange, stopsOnceAllIsAnswered)
 {
-    NodeRig rig;
-    auto running = rig.start(rig.ask(1, 30s));
-    cr_assert(!rig.start(rig.ask(2, 30s)));
-    const auto third = rig.reserve(rig.ask(3, 30s));
-    rig.handle(StopRequested{});
-    rig.fromCaller(FlowMessage{OpenFlow{FlowId{1}, rig.service, {}, 0}});
-    cr_assert_eq(rig.toCaller<RefuseFlow>().at(0).cause, RefusalCause::Stopping);
-    cr_assert(!rig.reserve(rig.ask(4)));
-    cr_assert_eq(rig.toCaller<NotRun>().at(0).cause, RefusalCause::Stopping);
-    rig.send(3, *third);
-    rig.pass(3s);
+    NodeRig fixture;
+    auto running = fixture.start(fixture.ask(1, 30s));
+    cr_assert(!fixture.start(fixture.ask(2, 30s)));
+    const auto third = fixture.reserve(fixture.ask(3, 30s));
+    fixture.handle(StopRequested{});
+    fixture.fromCaller(FlowMessage{OpenFlow{FlowId{1}, fixture.service, {}, 0}});
+    cr_assert_eq(fixture.toCaller<RefuseFlow>().at(0).cause, RefusalCause::Stopping);
+    cr_assert(!fixture.reserve(fixture.ask(4)));
+    cr_assert_eq(fixture.toCaller<NotRun>().at(0).cause, RefusalCause::Stopping);
+    fixture.send(3, *third);
+    fixture.pass(3s);
     for (int i = 0; i < 3; ++i) {
-        cr_assert(running.has_value() && rig.all<Stopped>().empty());
-        rig.done(*running);
-        cr_assert_eq(rig.toCaller<Answer>().size(), 1);
-        const auto next = rig.onLinks<Dispatch>();
+        cr_assert(running.has_value() && fixture.all<Stopped>().empty());
+        fixture.done(*running);
+        cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
+        const auto next = fixture.onLinks<Dispatch>();
         running = next.empty() ? std::nullopt : std::optional{next.front()};
     }
-    cr_assert(rig.all<Stopped>().empty());
-    rig.send(3, *third);
-    cr_assert_eq(rig.toCaller<Answer>().size(), 1);
-    rig.pass(2s);
-    cr_assert_eq(rig.all<Stopped>().size(), 1);
-    rig.pass(5s);
-    cr_assert(rig.all<Stopped>().empty());
+    cr_assert(fixture.all<Stopped>().empty());
+    fixture.send(3, *third);
+    cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
+    fixture.pass(2s);
+    cr_assert_eq(fixture.all<Stopped>().size(), 1);
+    fixture.pass(5s);
+    cr_assert(fixture.all<Stopped>().empty());
 
     NodeRig idle;
     idle.handle(StopRequested{});
@@ -184,33 +184,33 @@
 
 // A target hangs: its connection stays open and hellos stay unanswered. The link is given up after
 // a few and tried again; what ran on it is unknown at that moment, not at its deadline.
-Test(requestChange, givesUpASilentLink)
+Test(requestChange, closesAnUnresponsiveLink)
 {
-    NodeRig rig;
-    cr_assert(rig.start(rig.ask(1, 60s)).has_value());
-    rig.hellosAnswered = false;
-    rig.pass(9s);
-    cr_assert_eq(rig.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
-    cr_assert_eq(rig.all<CloseLink>().size(), 1);
-    cr_assert(!rig.all<OpenLink>().empty());
+    NodeRig fixture;
+    cr_assert(fixture.start(fixture.ask(1, 60s)).has_value());
+    fixture.hellosAnswered = false;
+    fixture.pass(9s);
+    cr_assert_eq(fixture.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
+    cr_assert_eq(fixture.all<CloseLink>().size(), 1);
+    cr_assert(!fixture.all<OpenLink>().empty());
 }
 
 // A retiring target is removed only when it has held nothing for a while, reported afresh, and
 // nothing is in progress; the proposal is repeated under one id, and not after the removal.
 Test(requestChange, proposesTheRemovalOfAnEmptyTarget)
 {
-    NodeRig rig;
+    NodeRig fixture;
     const auto passWithReports = [&](Duration wait, const LoadReport &load) {
-        rig.load = load;
-        rig.pass(wait);
-        return rig.all<ProposeCommand>();
+        fixture.load = load;
+        fixture.pass(wait);
+        return fixture.all<ProposeCommand>();
     };
     cr_assert(passWithReports(20s, {}).empty());
-    const auto running = rig.start(rig.ask(1, 60s));
-    rig.target().state = TargetState::Retiring;
-    rig.publish();
+    const auto running = fixture.start(fixture.ask(1, 60s));
+    fixture.target().state = TargetState::Retiring;
+    fixture.publish();
     cr_assert(passWithReports(20s, {}).empty());
-    rig.done(*running);
+    fixture.done(*running);
     cr_assert(passWithReports(20s, {0, 0, 1}).empty());
     cr_assert(passWithReports(4s, {}).empty());
     const auto proposals = passWithReports(60s, {});
@@ -218,32 +218,32 @@
     cr_assert(proposals.front().changeId == proposals.back().changeId);
     const auto &remove = std::get<RemoveTarget>(proposals.front().command);
     cr_assert(remove.target.target == "t0" && remove.generation == Generation{5});
-    rig.config.services[rig.service].targets.clear();
-    rig.publish();
+    fixture.config.services[fixture.service].targets.clear();
+    fixture.publish();
     cr_assert(passWithReports(60s, {}).empty());
 }
 
 // Two targets of one owner run a request each, a third request waits in the queue of one of them.
 // Whichever target comes free must run it at once: its caller would wait beside a free slot.
 // A target that drains takes nothing from the other's queue.
-Test(requestChange, aFreeTargetTakesFromTheQueuesOfItsOwner)
+Test(requestChange, anIdleTargetStealsFromItsOwnersOtherQueues)
 {
     for (const std::size_t freed : {0, 1}) {
         for (const bool drains : {false, true}) {
-            NodeRig rig{2};
+            NodeRig fixture{2};
             std::vector<std::pair<TargetId, Dispatch>> running;
             for (std::uint64_t id = 1; running.size() < 2; ++id)
-                running.push_back(*rig.start(rig.ask(id, 30s)));
+                running.push_back(*fixture.start(fixture.ask(id, 30s)));
             cr_assert(running[0].first != running[1].first);
-            cr_assert(!rig.start(rig.ask(3, 30s)));
+            cr_assert(!fixture.start(fixture.ask(3, 30s)));
             if (drains) {
-                rig.config.services[rig.service].targets[running[freed].first].state
+                fixture.config.services[fixture.service].targets[running[freed].first].state
                     = TargetState::Draining;
-                rig.publish();
-                rig.pass(3s); // Its own queue is empty by then.
+                fixture.publish();
+                fixture.pass(3s); // Its own queue is empty by then.
             }
-            rig.done(running[freed]);
-            const auto next = rig.onLinks<Dispatch>();
+            fixture.done(running[freed]);
+            const auto next = fixture.onLinks<Dispatch>();
             cr_expect_eq(next.size(), drains ? 0U : 1U);
             if (!next.empty())
                 cr_expect(next[0].first == running[freed].first && next[0].second.request.low == 3);
@@ -254,7 +254,7 @@
 // A VM was replaced a moment ago and its daemon has no configuration yet; the fabric sprays at it
 // already. A refusal would end what every other daemon could serve: it must not answer at all, so
 // that the caller asks again elsewhere. Once it is configured, an unknown service is refused.
-Test(requestChange, aDaemonWithoutConfigurationAnswersNoAsk)
+Test(requestChange, aDaemonWithoutConfigurationAnswersNothing)
 {
     for (const bool configured : {false, true}) {
         TrafficNode node{
