--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -96,7 +96,7 @@
     if (const auto *list = std::get_if<ObjectList>(&result))
         return onWatched(*list, startedAt);
     // The same watch would be refused for ever: the list brings a version that the store knows.
-    if (std::holds_alternative<HistoryGone>(result))
+    if (std::holds_alternative<HistoryCompacted>(result))
         readLog();
     const auto *failure = std::get_if<PlatformFailure>(&result);
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -102,8 +102,8 @@
 void StoreFeed::list()
 {
     ListObjects request{m_prefix, m_pages.empty() ? m_prefix : m_pages.back().key, PageObjects};
-    request.mayBeOld = !m_pages.empty() && !m_consistent;
-    m_pagesMayBeOld = request.mayBeOld;
+    request.allowStale = !m_pages.empty() && !m_consistent;
+    m_pagesMayBeOld = request.allowStale;
     call(request, &StoreFeed::onPage);
 }
 
@@ -138,7 +138,7 @@
 
 void StoreFeed::onCaughtUp(TimePoint asked, PlatformResult result)
 {
-    if (std::holds_alternative<HistoryGone>(result)) {
+    if (std::holds_alternative<HistoryCompacted>(result)) {
         listConsistent();
         return;
     }
@@ -194,13 +194,13 @@
 
 void StoreFeed::onWatch(TimePoint asked, PlatformResult result)
 {
-    if (std::holds_alternative<HistoryGone>(result)) {
+    if (std::holds_alternative<HistoryCompacted>(result)) {
         m_contact({{}, true});
         m_pages.clear();
         list();
         return;
     }
-    if (std::holds_alternative<WatchTooLong>(result)) {
+    if (std::holds_alternative<WatchAnswerTooLarge>(result)) {
         onSuccess();
         m_pages.clear();
         schedule(m_settings.batchDelay, &StoreFeed::list);
--- a/src/core/messages/platform.h
+++ b/src/core/messages/platform.h
@@ -52,7 +52,7 @@
     std::string after; ///< Only keys behind this one.
     std::uint32_t limit = 100;
     /// The answer may be seconds old, and costs the store a fraction of one that may not.
-    bool mayBeOld = false;
+    bool allowStale = false;
 };
 /// \brief Waits until an object below \a prefix is newer than \a after, or \a wait is over.
 struct WatchObjects
@@ -102,11 +102,11 @@
     bool more = false; ///< Only from a list: further objects follow behind the last key.
 };
 /// \brief The store has forgotten the changes that a watch asked for: only a list tells the state.
-struct HistoryGone
+struct HistoryCompacted
 {
 };
 /// \brief A watch has more to say than was allowed: every version of each object. A list says less.
-struct WatchTooLong
+struct WatchAnswerTooLarge
 {
 };
 struct VmList
@@ -122,6 +122,6 @@
 };
 
 using PlatformResult = std::variant<Written, WriteConflict, StoredObject, ObjectMissing, ObjectList,
-                                    VmList, PlatformFailure, HistoryGone, WatchTooLong>;
+                                    VmList, PlatformFailure, HistoryCompacted, WatchAnswerTooLarge>;
 
 } // namespace baobabtrail
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -46,7 +46,7 @@
     m_http.call(std::move(call), [request, done = std::move(done)](const HttpResult &result) {
         const auto *failure = std::get_if<HttpFailure>(&result);
         if (failure && failure->tooLong && std::holds_alternative<WatchObjects>(request))
-            done(WatchTooLong{});
+            done(WatchAnswerTooLarge{});
         else if (failure)
             done(PlatformFailure{"the store: " + failure->what + after(failure->bytes)});
         else
--- a/tests/adapter/object_test.cpp
+++ b/tests/adapter/object_test.cpp
@@ -44,7 +44,7 @@
     ListObjects list{"targets/", "targets/i-1", 100};
     const std::string dear{toHttp(list, store).target()};
     cr_assert(dear.ends_with("?after=i-1"), "%s", dear.c_str());
-    list.mayBeOld = true;
+    list.allowStale = true;
     const std::string cheap{toHttp(list, store).target()};
     cr_assert(cheap.ends_with("?after=i-1&serializable=1"), "%s", cheap.c_str());
     list.after.clear();
--- a/tests/platform/client_test.cpp
+++ b/tests/platform/client_test.cpp
@@ -204,7 +204,7 @@
     const auto written = bench.expect<Written>(CreateObject{"b/1", "one"});
     bench.expect<Written>(CreateObject{"b/2", "two"});
     bench.control(boost::beast::http::verb::post, "compact", "");
-    bench.expect<HistoryGone>(WatchObjects{"b/", written.version, 10ms});
+    bench.expect<HistoryCompacted>(WatchObjects{"b/", written.version, 10ms});
     const auto list = bench.expect<ObjectList>(ListObjects{"b/", "b/"});
     cr_assert_eq(list.objects.size(), 2);
     bench.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms});
@@ -222,7 +222,7 @@
     for (int version = 0; version < versions; ++version)
         last = bench.expect<Written>(
             UpdateObject{"b/1", std::string(400, static_cast<char>('a' + version)), last.version});
-    bench.expect<WatchTooLong>(WatchObjects{"b/", first.version, 10ms, most});
+    bench.expect<WatchAnswerTooLarge>(WatchObjects{"b/", first.version, 10ms, most});
     const auto list = bench.expect<ObjectList>(ListObjects{"b/", "b/"});
     cr_assert_eq(list.objects.at(0).value.back(), 'a' + versions - 1);
     bench.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms, most});
--- a/tests/support/fake_directory_store.h
+++ b/tests/support/fake_directory_store.h
@@ -100,7 +100,7 @@
         ++m_calls;
         const auto *list = std::get_if<ListObjects>(&request);
         ++m_callsOn[list ? list->prefix : std::get<WatchObjects>(request).prefix];
-        m_cheapCalls += list && list->mayBeOld;
+        m_cheapCalls += list && list->allowStale;
         if (cut.contains(caller) || silent) {
             const auto *watch = std::get_if<WatchObjects>(&request);
             const Duration wait = CallTimeout + (watch ? watch->wait : Duration{0});
@@ -146,7 +146,7 @@
             return;
         }
         if (const auto *list = std::get_if<ListObjects>(&request)) {
-            const bool old = list->mayBeOld && m_lags;
+            const bool old = list->allowStale && m_lags;
             ObjectList out;
             out.latest = ObjectVersion{old ? m_oldRevision : m_revision};
             for (const auto &[key, object] : old ? m_oldObjects : m_objects) {
@@ -211,7 +211,7 @@
         m_watches.erase(found);
         m_ended.insert(id);
         if (watch.request.after.value() < m_forgotten) {
-            answer(watch.caller, watch.done, HistoryGone{});
+            answer(watch.caller, watch.done, HistoryCompacted{});
             return;
         }
         ObjectList out;
@@ -226,7 +226,7 @@
             bytes += event.bytes;
         }
         if (watch.request.mostBytes > 0 && bytes > watch.request.mostBytes) {
-            answer(watch.caller, watch.done, WatchTooLong{});
+            answer(watch.caller, watch.done, WatchAnswerTooLarge{});
             return;
         }
         for (const std::string &key : keys) {
