--- a/src/core/messages/platform.h
+++ b/src/core/messages/platform.h
@@ -60,7 +60,7 @@
     std::string prefix;
     ObjectVersion after;
     Duration wait{0};
-    std::uint64_t mostBytes = 0; ///< A longer answer is not taken; 0 for any.
+    std::uint64_t maxBytes = 0; ///< A longer answer is not taken; 0 for any.
 };
 struct DeleteObject
 {
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -14,10 +14,10 @@
     return watch ? watch->wait : Duration{0};
 }
 
-[[nodiscard]] std::uint64_t mostBytes(const PlatformRequest &request) noexcept
+[[nodiscard]] std::uint64_t maxBytes(const PlatformRequest &request) noexcept
 {
     const auto *watch = std::get_if<WatchObjects>(&request);
-    return watch ? watch->mostBytes : 0;
+    return watch ? watch->maxBytes : 0;
 }
 
 /// \return Words on how much came, where anything did.
@@ -41,7 +41,7 @@
     call.request = platform::toHttp(request, m_settings.platform);
     call.timeout = m_settings.timeout + extraWait(request);
     call.longest = call.timeout + m_settings.longestAnswer;
-    call.mostBytes = mostBytes(request);
+    call.mostBytes = maxBytes(request);
     call.repeatable = platform::isRead(request);
     m_http.call(std::move(call), [request, done = std::move(done)](const HttpResult &result) {
         const auto *failure = std::get_if<HttpFailure>(&result);
--- a/tests/support/fake_directory_store.h
+++ b/tests/support/fake_directory_store.h
@@ -225,7 +225,7 @@
             keys.insert(event.key);
             bytes += event.bytes;
         }
-        if (watch.request.mostBytes > 0 && bytes > watch.request.mostBytes) {
+        if (watch.request.maxBytes > 0 && bytes > watch.request.maxBytes) {
             answer(watch.caller, watch.done, WatchAnswerTooLarge{});
             return;
         }
