--- a/src/core/messages/flow.h
+++ b/src/core/messages/flow.h
@@ -41,12 +41,12 @@
     TargetShed,     ///< The target itself said that it did not run it.
 };
 
-/// \brief The flow was not placed; the caller may ask again after \a comeBackAfter.
+/// \brief The flow was not placed; the caller may ask again after \a retryAfter.
 struct RefuseFlow
 {
     FlowId flow;
     RefusalCause cause = RefusalCause::Overload;
-    Duration comeBackAfter{0};
+    Duration retryAfter{0};
 };
 
 /// \brief Payload of a flow, in either direction; opaque to the system.
--- a/src/core/messages/request.h
+++ b/src/core/messages/request.h
@@ -66,7 +66,7 @@
 {
     RequestId request;
     RefusalCause cause = RefusalCause::Overload;
-    Duration comeBackAfter{0};
+    Duration retryAfter{0};
     DaemonId owner{}; ///< Owner of the reservation that ended; null where none was made.
 };
 
--- a/src/wire/flow_frames.cpp
+++ b/src/wire/flow_frames.cpp
@@ -36,7 +36,7 @@
         pb::RefuseFlow &body = *m_out.mutable_refuse_flow();
         body.set_flow(in.flow.value());
         body.set_cause(static_cast<pb::RefusalCause>(in.cause));
-        body.set_come_back_after(packDuration(in.comeBackAfter));
+        body.set_come_back_after(packDuration(in.retryAfter));
     }
 
     void operator()(const FlowData &in) const
@@ -115,7 +115,7 @@
 {
     out.flow = FlowId{in.flow()};
     return readEnum(in.cause(), RefusalCause::TargetShed, out.cause)
-           && readDuration(in.come_back_after(), out.comeBackAfter);
+           && readDuration(in.come_back_after(), out.retryAfter);
 }
 
 bool readBody(pb::FlowData &in, const FlowToken *shared, FlowData &out)
--- a/src/wire/request_frames.cpp
+++ b/src/wire/request_frames.cpp
@@ -52,7 +52,7 @@
     {
         pb::NotRun &body = identified(in, *m_out.mutable_not_run());
         body.set_cause(static_cast<pb::RefusalCause>(in.cause));
-        body.set_come_back_after(packDuration(in.comeBackAfter));
+        body.set_come_back_after(packDuration(in.retryAfter));
         body.set_owner(in.owner.value());
     }
 
@@ -136,7 +136,7 @@
     out.request = idOf(in);
     out.owner = DaemonId{in.owner()};
     return readEnum(in.cause(), RefusalCause::TargetShed, out.cause)
-           && readDuration(in.come_back_after(), out.comeBackAfter);
+           && readDuration(in.come_back_after(), out.retryAfter);
 }
 
 bool readBody(pb::OutcomeUnknown &in, const FlowToken *, OutcomeUnknown &out)
--- a/standins/caller/feeds.cpp
+++ b/standins/caller/feeds.cpp
@@ -121,7 +121,7 @@
         return;
     ++m_counts["refused"];
     ++m_counts["refused_" + std::to_string(static_cast<int>(message.cause))];
-    feed.nextSend = std::max(feed.nextSend, now + message.comeBackAfter);
+    feed.nextSend = std::max(feed.nextSend, now + message.retryAfter);
 }
 
 void Feeds::on(Feed &feed, const FlowData &message, TimePoint)
--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -200,7 +200,7 @@
     cr_assert(second.at(0).target != first.target);
     answer(rig, second.at(0), RefuseFlow{Flow, RefusalCause::TargetShed, {}});
     cr_assert(rig.all<SendToTarget>().empty());
-    cr_assert(rig.toCaller<RefuseFlow>().at(0).comeBackAfter > 0s);
+    cr_assert(rig.toCaller<RefuseFlow>().at(0).retryAfter > 0s);
 }
 
 // Opens that targets never answer: their number is bounded, and they are given up in time.
--- a/tests/requests/owner_test.cpp
+++ b/tests/requests/owner_test.cpp
@@ -291,7 +291,7 @@
     check.requestClass = RequestClass::Urgent;
     cr_assert(fixture.reserve(check).has_value());
     cr_assert_eq(fixture.toCaller<NotRun>().at(0).request.low, 5);
-    cr_assert(fixture.toCaller<NotRun>().at(0).comeBackAfter > 0s);
+    cr_assert(fixture.toCaller<NotRun>().at(0).retryAfter > 0s);
     cr_assert_eq(fixture.node.counts().runningAttempts, 1);
 }
 
