--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -12,7 +12,7 @@
 
 [[nodiscard]] const OpenFlow &openOf(const Handoff &ask)
 {
-    return std::get<OpenFlow>(ask.ask);
+    return std::get<OpenFlow>(ask.body);
 }
 
 /// \return The flow that a message is about.
--- a/src/core/messages/peer.h
+++ b/src/core/messages/peer.h
@@ -21,7 +21,7 @@
     TargetId target;
     std::uint32_t hops = 0;      ///< Forwards so far; bounded.
     std::vector<LoadHint> hints; ///< Loads seen on the way.
-    std::variant<OpenFlow, Reserve> ask;
+    std::variant<OpenFlow, Reserve> body;
 };
 
 /// \brief Reply to a Handoff, on its way to the caller.
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -10,7 +10,7 @@
 
 [[nodiscard]] const Reserve &reserveOf(const Handoff &handoff)
 {
-    return std::get<Reserve>(handoff.ask);
+    return std::get<Reserve>(handoff.body);
 }
 
 } // namespace
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -29,7 +29,7 @@
     Handoff handoff;
     handoff.caller = caller;
     handoff.entry = context.identity.address;
-    handoff.ask = body;
+    handoff.body = body;
     return handoff;
 }
 
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -95,7 +95,7 @@
 {
     PeerMessage &body = event.datagram.body;
     if (Handoff *handoff = std::get_if<Handoff>(&body)) {
-        if (std::holds_alternative<OpenFlow>(handoff->ask))
+        if (std::holds_alternative<OpenFlow>(handoff->body))
             m_flows.fromPeer(std::move(*handoff), turn);
         else
             m_requests.fromPeer(std::move(*handoff), turn);
--- a/src/wire/peer_frames.cpp
+++ b/src/wire/peer_frames.cpp
@@ -107,7 +107,7 @@
         body.set_target(in.target.value());
         body.set_hops(in.hops);
         writeHints(in.hints, *body.mutable_hints());
-        writeFrame(in.ask, *body.mutable_ask());
+        writeFrame(in.body, *body.mutable_ask());
     }
 
     void operator()(const HandoffReply &in) const
@@ -172,7 +172,7 @@
     out.hops = in.hops();
     if (!readHints(in.hints(), out.hints))
         return DecodeError::Malformed;
-    return readFrame(*in.mutable_ask(), out.ask);
+    return readFrame(*in.mutable_ask(), out.body);
 }
 
 [[nodiscard]] Error readBody(pb::HandoffReply &in, HandoffReply &out)
--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -251,7 +251,7 @@
     for (const bool isFlow : {true, false}) {
         Handoff ask{NodeRig::Caller, NodeRig::OtherPeer, rig.target().id, 0, {}, rig.ask(1)};
         if (isFlow)
-            ask.ask = OpenFlow{Flow, rig.service, {}, 0};
+            ask.body = OpenFlow{Flow, rig.service, {}, 0};
         int forwards = 0;
         for (; forwards < 10; ++forwards) {
             rig.handle(FromPeer{NodeRig::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}});
