--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -3,9 +3,9 @@
 #include "core/config/config_log.h"
 #include "core/config/log_reader.h"
 #include "core/config/proposer.h"
-#include "core/control/clearance.h"
 #include "core/control/context.h"
 #include "core/control/peer_fetcher.h"
+#include "core/control/quarantine_check.h"
 #include "core/control/watcher.h"
 #include "core/membership/swim.h"
 #include "core/membership/watchers.h"
@@ -65,7 +65,7 @@
     Swim m_swim;
     PeerFetcher m_fetcher;
     Watcher m_watcher;
-    Clearance m_clearance;
+    QuarantineCheck m_quarantineCheck;
     Proposer m_proposer;
     ConfigPtr m_published;
     TimePoint m_startedAt{};
@@ -84,10 +84,10 @@
           [this] { return knownAge(m_context.now()); })
     , m_fetcher(m_context, m_log, m_reader)
     , m_watcher(m_context, m_log, m_reader, m_swim, [this] { return age(m_context.now()); })
-    , m_clearance(m_context, m_swim)
+    , m_quarantineCheck(m_context, m_swim)
     , m_proposer(m_context, m_log, m_reader,
                  [this](std::vector<QuarantineUse> uses, Proposer::Cleared done) {
-                     m_clearance.check(std::move(uses), std::move(done));
+                     m_quarantineCheck.check(std::move(uses), std::move(done));
                  })
     , m_published(m_log.config())
 {
--- a/src/core/control/clearance.cpp
+++ b/src/core/control/quarantine_check.cpp
@@ -1,4 +1,4 @@
-#include "core/control/clearance.h"
+#include "core/control/quarantine_check.h"
 
 #include "core/membership/watchers.h"
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr std::size_t MaxNamed = 5; ///< Daemons that a finding names.
+constexpr std::size_t MaxNamedDaemons = 5; ///< Daemons that a finding names.
 
 } // namespace
 
-struct Clearance::Inquiry
+struct QuarantineCheck::PendingCheck
 {
     std::vector<QuarantineUse> uses;
     Proposer::Cleared done;
     std::map<DaemonId, std::string> live; ///< With their failure domains.
     std::map<DaemonId, Revision> passed;
-    std::size_t openQuestions = 0;
+    std::size_t openQueries = 0;
 
     void add(const MemberUpdate &member)
     {
@@ -29,78 +29,78 @@
     }
 };
 
-void Clearance::check(std::vector<QuarantineUse> uses, Proposer::Cleared done)
+void QuarantineCheck::check(std::vector<QuarantineUse> uses, Proposer::Cleared done)
 {
-    auto inquiry = std::make_shared<Inquiry>();
-    inquiry->uses = std::move(uses);
-    inquiry->done = std::move(done);
-    m_context.call(ListVms{}, [this, inquiry](const PlatformResult &result) {
+    auto pending = std::make_shared<PendingCheck>();
+    pending->uses = std::move(uses);
+    pending->done = std::move(done);
+    m_context.call(ListVms{}, [this, pending](const PlatformResult &result) {
         const auto *list = std::get_if<VmList>(&result);
         if (!list) {
             Findings findings;
-            for (const QuarantineUse &use : inquiry->uses)
+            for (const QuarantineUse &use : pending->uses)
                 findings.push_back({use.place, "address " + toString(use.address)
                                                    + " is in quarantine, and the VM list that says"
                                                      " which daemons are live can't be read"});
-            return inquiry->done(std::move(findings));
+            return pending->done(std::move(findings));
         }
         m_swim.takeVmList(*list);
         for (const VmEntry &vm : list->vms)
-            inquiry->live.emplace(vm.daemon, vm.domain);
-        askDomains(inquiry);
+            pending->live.emplace(vm.daemon, vm.domain);
+        queryDomains(pending);
     });
 }
 
-void Clearance::askDomains(const std::shared_ptr<Inquiry> &inquiry)
+void QuarantineCheck::queryDomains(const std::shared_ptr<PendingCheck> &pending)
 {
     for (const MemberUpdate &member : m_swim.statusMembers())
-        inquiry->add(member);
+        pending->add(member);
     for (const MemberUpdate *member : m_swim.remote().present())
-        inquiry->add(*member);
+        pending->add(*member);
 
     const View view = m_swim.view();
     const std::size_t count = m_context.settings().watchersPerDomain;
-    std::vector<Endpoint> toAsk;
+    std::vector<Endpoint> toQuery;
     const auto collect = [&](const std::string &domain, const std::vector<Member> &members) {
         for (const Member *watcher : watchersOf(domain, members, count)) {
             if (watcher->id != view.self)
-                toAsk.push_back(watcher->records);
+                toQuery.push_back(watcher->records);
         }
     };
     collect(view.domain, view.members);
     for (const auto &[domain, members] : view.remote)
         collect(domain, members);
 
-    inquiry->openQuestions = toAsk.size();
-    if (toAsk.empty())
-        return conclude(inquiry);
-    for (const Endpoint &records : toAsk)
-        ask(inquiry, records);
+    pending->openQueries = toQuery.size();
+    if (toQuery.empty())
+        return finish(pending);
+    for (const Endpoint &records : toQuery)
+        query(pending, records);
 }
 
-void Clearance::ask(const std::shared_ptr<Inquiry> &inquiry, const Endpoint &records)
+void QuarantineCheck::query(const std::shared_ptr<PendingCheck> &pending, const Endpoint &records)
 {
-    m_context.fetch(records, FetchStatus{}, [this, inquiry](const auto &message) {
+    m_context.fetch(records, FetchStatus{}, [this, pending](const auto &message) {
         if (const auto *status = message ? std::get_if<DomainStatus>(&*message) : nullptr) {
             for (const MemberUpdate &member : status->members)
-                inquiry->add(member);
+                pending->add(member);
         }
-        if (--inquiry->openQuestions == 0)
-            conclude(inquiry);
+        if (--pending->openQueries == 0)
+            finish(pending);
     });
 }
 
-void Clearance::conclude(const std::shared_ptr<Inquiry> &inquiry)
+void QuarantineCheck::finish(const std::shared_ptr<PendingCheck> &pending)
 {
     Findings findings;
-    for (const QuarantineUse &use : inquiry->uses) {
+    for (const QuarantineUse &use : pending->uses) {
         std::string names;
         std::size_t behind = 0;
-        for (const auto &[id, domain] : inquiry->live) {
-            const auto passed = inquiry->passed.find(id);
-            if (passed != inquiry->passed.end() && passed->second >= use.since)
+        for (const auto &[id, domain] : pending->live) {
+            const auto passed = pending->passed.find(id);
+            if (passed != pending->passed.end() && passed->second >= use.since)
                 continue;
-            if (++behind <= MaxNamed)
+            if (++behind <= MaxNamedDaemons)
                 names += (names.empty() ? "" : ", ") + std::to_string(id.value()) + " (" + domain
                          + ')';
         }
@@ -111,7 +111,7 @@
                                            + " daemons are not known to have passed revision "
                                            + std::to_string(use.since.value()) + ": " + names});
     }
-    inquiry->done(std::move(findings));
+    pending->done(std::move(findings));
 }
 
 } // namespace baobabtrail
--- a/src/core/control/clearance.h
+++ b/src/core/control/quarantine_check.h
@@ -14,10 +14,10 @@
 /// Asks the watchers of every failure domain, which hear of each daemon of theirs that applies a
 /// revision. A daemon on the VM list that nobody has heard passing blocks the address: it may be
 /// cut off and still send to it. Only the end of the quarantine lets it go then.
-class Clearance
+class QuarantineCheck
 {
 public:
-    Clearance(ControlContext &context, Swim &swim)
+    QuarantineCheck(ControlContext &context, Swim &swim)
         : m_context(context)
         , m_swim(swim)
     {
@@ -26,10 +26,10 @@
     void check(std::vector<QuarantineUse> uses, Proposer::Cleared done);
 
 private:
-    struct Inquiry;
-    void askDomains(const std::shared_ptr<Inquiry> &inquiry);
-    void ask(const std::shared_ptr<Inquiry> &inquiry, const Endpoint &records);
-    void conclude(const std::shared_ptr<Inquiry> &inquiry);
+    struct PendingCheck;
+    void queryDomains(const std::shared_ptr<PendingCheck> &pending);
+    void query(const std::shared_ptr<PendingCheck> &pending, const Endpoint &records);
+    void finish(const std::shared_ptr<PendingCheck> &pending);
 
     ControlContext &m_context;
     Swim &m_swim;
