--- a/src/core/control/backoff.cpp
+++ b/src/core/control/backoff.cpp
@@ -19,7 +19,7 @@
 Duration Backoff::next(Random &random, Duration atLeast)
 {
     const Duration wait = between(random, m_next / 2, m_next);
-    m_next = std::min(m_next * 2, m_most);
+    m_next = std::min(m_next * 2, m_max);
     if (wait >= atLeast)
         return wait;
     return atLeast + wait / 2;
--- a/src/core/control/backoff.h
+++ b/src/core/control/backoff.h
@@ -13,7 +13,7 @@
     constexpr Backoff() noexcept = default;
     constexpr Backoff(Duration first, Duration most) noexcept
         : m_first(first)
-        , m_most(most)
+        , m_max(most)
         , m_next(first)
     {
     }
@@ -25,7 +25,7 @@
 
 private:
     Duration m_first = 200ms;
-    Duration m_most = 3s;
+    Duration m_max = 3s;
     Duration m_next = 200ms;
 };
 
--- a/src/core/control/context.cpp
+++ b/src/core/control/context.cpp
@@ -45,21 +45,22 @@
 
 void ControlContext::fetch(const Endpoint &records, RecordsMessage message, FetchHandler handler)
 {
-    std::deque<Question> &questions = m_questions[records];
-    questions.push_back({std::move(message), std::move(handler)});
+    std::deque<PendingFetch> &queue = m_fetchQueues[records];
+    queue.push_back({std::move(message), std::move(handler)});
     // A result names its peer only: with two questions out, answers could be mixed up.
-    if (questions.size() == 1)
-        emit(FetchFromPeer{records, questions.front().message});
+    if (queue.size() == 1)
+        emit(FetchFromPeer{records, queue.front().message});
 }
 
-void ControlContext::enter(TimePoint now, std::chrono::sys_seconds unixNow, ControlActions &out)
+void ControlContext::beginEvent(TimePoint now, std::chrono::sys_seconds unixNow,
+                                ControlActions &out)
 {
     m_now = std::max(m_now, now);
     m_unixNow = unixNow;
     m_out = &out;
 }
 
-Duration ControlContext::lateness() const
+Duration ControlContext::timerLateness() const
 {
     if (m_timers.empty() || m_timers.begin()->first >= m_now)
         return Duration{0};
@@ -90,13 +91,13 @@
 
 void ControlContext::deliver(const FetchResult &result)
 {
-    const auto found = m_questions.find(result.records);
-    if (found == m_questions.end())
+    const auto found = m_fetchQueues.find(result.records);
+    if (found == m_fetchQueues.end())
         return;
     const FetchHandler handler = std::move(found->second.front().handler);
     found->second.pop_front();
     if (found->second.empty())
-        m_questions.erase(found);
+        m_fetchQueues.erase(found);
     else
         emit(FetchFromPeer{result.records, found->second.front().message});
     handler(result.message);
--- a/src/core/control/context.h
+++ b/src/core/control/context.h
@@ -47,17 +47,17 @@
     void fetch(const Endpoint &records, RecordsMessage message, FetchHandler handler);
 
     /// \brief Begins an event; actions go to \a out until leave().
-    void enter(TimePoint now, std::chrono::sys_seconds unixNow, ControlActions &out);
-    void leave() noexcept { m_out = nullptr; }
+    void beginEvent(TimePoint now, std::chrono::sys_seconds unixNow, ControlActions &out);
+    void endEvent() noexcept { m_out = nullptr; }
     /// \return How late the earliest timer is; large after the process was paused.
-    [[nodiscard]] Duration lateness() const;
+    [[nodiscard]] Duration timerLateness() const;
     void runDueTimers();
     [[nodiscard]] std::optional<TimePoint> nextTimer() const;
     void deliver(const PlatformReply &reply);
     void deliver(const FetchResult &result);
 
 private:
-    struct Question
+    struct PendingFetch
     {
         RecordsMessage message;
         FetchHandler handler;
@@ -72,7 +72,8 @@
     std::multimap<TimePoint, Callback> m_timers;
     std::uint64_t m_lastCall = 0;
     std::unordered_map<CallId, PlatformHandler> m_calls;
-    std::unordered_map<Endpoint, std::deque<Question>> m_questions; ///< The first one is asked.
+    std::unordered_map<Endpoint, std::deque<PendingFetch>>
+        m_fetchQueues; ///< The first one is asked.
 };
 
 } // namespace baobabtrail
--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -17,10 +17,11 @@
 
 namespace {
 
-constexpr Duration PausedAfter = 2s; ///< A timer that is this late means that the process stood.
-constexpr Duration AgeCheckPeriod = 10s;
-constexpr Duration OldConfig = 60s; ///< Age of the configuration from which on the log says so.
-constexpr Duration OldConfigReportPeriod = 300s;
+constexpr Duration StallThreshold = 2s; ///< A timer that is this late means that the process stood.
+constexpr Duration ConfigAgeCheckPeriod = 10s;
+constexpr Duration ConfigAgeWarning
+    = 60s; ///< Age of the configuration from which on the log says so.
+constexpr Duration ConfigAgeWarningPeriod = 300s;
 
 } // namespace
 
@@ -51,10 +52,10 @@
 
     void heard(const MemberUpdate &peer, std::optional<Duration> age);
     void publish();
-    void tellOthers();
-    void tell(const Endpoint &address);
-    void reportAge();
-    void raiseConfirmed(TimePoint time);
+    void notifyPeers();
+    void sendRevisionNotice(const Endpoint &address);
+    void checkConfigAge();
+    void updateConfirmedAt(TimePoint time);
     [[nodiscard]] std::optional<TimePoint> confirmedAt() const;
     [[nodiscard]] std::optional<Duration> knownAge(TimePoint now) const;
     [[nodiscard]] Duration age(TimePoint now) const;
@@ -96,26 +97,26 @@
 void ControlNode::Impl::start(TimePoint now, ControlActions &out)
 {
     m_startedAt = now;
-    m_context.enter(now, {}, out);
+    m_context.beginEvent(now, {}, out);
     m_context.emit(PublishConfig{m_published});
     m_swim.start();
     m_watcher.start();
-    m_context.after(AgeCheckPeriod, [this] { reportAge(); });
+    m_context.after(ConfigAgeCheckPeriod, [this] { checkConfigAge(); });
     publish();
-    m_context.leave();
+    m_context.endEvent();
 }
 
 void ControlNode::Impl::handle(ControlEvent &event, TimePoint now, std::chrono::sys_seconds unixNow,
                                ControlActions &out)
 {
-    m_context.enter(now, unixNow, out);
+    m_context.beginEvent(now, unixNow, out);
     // After a pause every other daemon looks silent, since nobody read its answers.
-    if (m_context.lateness() > PausedAfter)
-        m_swim.onPaused();
+    if (m_context.timerLateness() > StallThreshold)
+        m_swim.onStall();
     std::visit([this](auto &typed) { on(typed); }, event);
     m_context.runDueTimers();
     publish();
-    m_context.leave();
+    m_context.endEvent();
 }
 
 void ControlNode::Impl::on(ControlFromPeer &event)
@@ -132,7 +133,7 @@
 {
     m_fetcher.heard(peer.revision, peer.records);
     if (peerAge && peer.revision == m_log.revision())
-        raiseConfirmed(m_context.now() - *peerAge);
+        updateConfirmedAt(m_context.now() - *peerAge);
 }
 
 void ControlNode::Impl::publish()
@@ -142,7 +143,7 @@
         m_published = m_log.config();
         m_context.emit(PublishConfig{m_published});
         m_swim.setRevision(m_published->revision);
-        tellOthers();
+        notifyPeers();
     }
     if (m_swim.takeChanged())
         m_context.emit(PublishView{view()});
@@ -150,7 +151,7 @@
 
 // Random peers spread the news in the domain, its watchers learn who has it, and one daemon of
 // every other domain carries it over a cut between that domain and the platform.
-void ControlNode::Impl::tellOthers()
+void ControlNode::Impl::notifyPeers()
 {
     const Revision revision = m_published->revision;
     const View view = m_swim.view();
@@ -161,7 +162,7 @@
     }
     for (std::size_t i = 0; i < m_context.settings().noticeFanOut && !behind.empty(); ++i) {
         const std::size_t index = m_context.pick(behind.size());
-        tell(behind[index]);
+        sendRevisionNotice(behind[index]);
         behind.erase(behind.begin() + static_cast<std::ptrdiff_t>(index));
     }
 
@@ -169,7 +170,7 @@
     const std::vector<const Member *> watchers = watchersOf(view.domain, view.members, count);
     for (const Member *watcher : watchers) {
         if (watcher->id != view.self)
-            tell(watcher->address);
+            sendRevisionNotice(watcher->address);
     }
 
     const bool isWatcher = std::any_of(watchers.begin(), watchers.end(), [&](const Member *member) {
@@ -179,15 +180,15 @@
     if (!isWatcher && !isAuthor)
         return;
     for (const auto &[domain, members] : view.remote)
-        tell(members[m_context.pick(members.size())].address);
+        sendRevisionNotice(members[m_context.pick(members.size())].address);
 }
 
-void ControlNode::Impl::tell(const Endpoint &address)
+void ControlNode::Impl::sendRevisionNotice(const Endpoint &address)
 {
     m_context.send(address, RevisionNotice{m_published->revision, m_context.identity().records});
 }
 
-void ControlNode::Impl::raiseConfirmed(TimePoint time)
+void ControlNode::Impl::updateConfirmedAt(TimePoint time)
 {
     m_peerConfirmedAt = m_peerConfirmedAt ? std::max(*m_peerConfirmedAt, time) : time;
 }
@@ -213,17 +214,17 @@
     return knownAge(now).value_or(now - m_startedAt);
 }
 
-void ControlNode::Impl::reportAge()
+void ControlNode::Impl::checkConfigAge()
 {
-    m_context.after(AgeCheckPeriod, [this] { reportAge(); });
+    m_context.after(ConfigAgeCheckPeriod, [this] { checkConfigAge(); });
     const TimePoint now = m_context.now();
-    if (age(now) < OldConfig) {
+    if (age(now) < ConfigAgeWarning) {
         if (std::exchange(m_ageReportedAt, std::nullopt))
             m_context.notice(Severity::Info, Part::Distribution,
                              "The configuration is known to be the newest again");
         return;
     }
-    if (m_ageReportedAt && now - *m_ageReportedAt < OldConfigReportPeriod)
+    if (m_ageReportedAt && now - *m_ageReportedAt < ConfigAgeWarningPeriod)
         return;
     m_ageReportedAt = now;
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(age(now));
--- a/src/core/membership/swim.cpp
+++ b/src/core/membership/swim.cpp
@@ -234,7 +234,7 @@
                          + toString(entry->update.address) + " is considered dead");
 }
 
-void Swim::onPaused()
+void Swim::onStall()
 {
     m_pending.clear();
     for (const MemberEntry *present : m_table.present()) {
--- a/src/core/membership/swim.h
+++ b/src/core/membership/swim.h
@@ -34,7 +34,7 @@
     void takeStatus(const DomainStatus &status);
     void announceLeave();
     /// \brief After a pause of this process: what it waited for says nothing of the others.
-    void onPaused();
+    void onStall();
 
     void setRevision(Revision revision);
     void raiseRevision(DaemonId id, Revision revision);
