--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -50,7 +50,7 @@
     void on(AnnounceLeave &) { m_swim.announceLeave(); }
     void on(ControlTimerExpired &) {}
 
-    void heard(const MemberUpdate &peer, std::optional<Duration> age);
+    void onPeerUpdate(const MemberUpdate &peer, std::optional<Duration> age);
     void publish();
     void notifyPeers();
     void sendRevisionNotice(const Endpoint &address);
@@ -80,7 +80,7 @@
     , m_swim(
           m_context,
           [this](const MemberUpdate &peer, std::optional<Duration> peerAge) {
-              heard(peer, peerAge);
+              onPeerUpdate(peer, peerAge);
           },
           [this] { return knownAge(m_context.now()); })
     , m_fetcher(m_context, m_log, m_reader)
@@ -123,15 +123,15 @@
 {
     if (const auto *notice = std::get_if<RevisionNotice>(&event.datagram.body)) {
         m_swim.raiseRevision(event.datagram.from, notice->revision);
-        m_fetcher.heard(notice->revision, notice->records);
+        m_fetcher.onPeerRevision(notice->revision, notice->records);
         return;
     }
     m_swim.receive(event.datagram, event.address);
 }
 
-void ControlNode::Impl::heard(const MemberUpdate &peer, std::optional<Duration> peerAge)
+void ControlNode::Impl::onPeerUpdate(const MemberUpdate &peer, std::optional<Duration> peerAge)
 {
-    m_fetcher.heard(peer.revision, peer.records);
+    m_fetcher.onPeerRevision(peer.revision, peer.records);
     if (peerAge && peer.revision == m_log.revision())
         updateConfirmedAt(m_context.now() - *peerAge);
 }
--- a/src/core/control/peer_fetcher.cpp
+++ b/src/core/control/peer_fetcher.cpp
@@ -8,11 +8,11 @@
 
 constexpr std::size_t MaxSources = 8;
 constexpr std::size_t MaxOpenFetches = 3;
-constexpr Duration SlowFetch = 300ms;
+constexpr Duration HedgeDelay = 300ms;
 
 } // namespace
 
-void PeerFetcher::heard(Revision revision, const Endpoint &records)
+void PeerFetcher::onPeerRevision(Revision revision, const Endpoint &records)
 {
     if (revision <= m_log.revision() || records.isNull())
         return;
@@ -23,7 +23,7 @@
         known->revision = std::max(known->revision, revision);
     else if (m_sources.size() < MaxSources)
         m_sources.push_back({records, revision});
-    if (m_open == 0)
+    if (m_openFetches == 0)
         fetchNext();
 }
 
@@ -33,16 +33,16 @@
                   [&](const Source &source) { return source.revision <= m_log.revision(); });
     std::vector<Source *> usable;
     for (Source &source : m_sources) {
-        if (!source.asked)
+        if (!source.fetching)
             usable.push_back(&source);
     }
     if (usable.empty())
         return;
     Source &chosen = *usable[m_context.pick(usable.size())];
-    chosen.asked = true;
-    ++m_open;
-    const std::uint64_t fetch = ++m_fetches;
-    m_context.after(SlowFetch, [this, fetch] { fetchElsewhere(fetch); });
+    chosen.fetching = true;
+    ++m_openFetches;
+    const std::uint64_t fetch = ++m_lastFetchId;
+    m_context.after(HedgeDelay, [this, fetch] { hedgeSlowFetch(fetch); });
     FetchRecords request;
     request.after = m_log.revision();
     m_context.fetch(chosen.records, request,
@@ -52,33 +52,33 @@
                     });
 }
 
-void PeerFetcher::fetchElsewhere(std::uint64_t fetch)
+void PeerFetcher::hedgeSlowFetch(std::uint64_t fetch)
 {
-    const bool stillOpen = m_open > 0 && fetch == m_fetches;
-    if (stillOpen && m_open < MaxOpenFetches)
+    const bool stillInFlight = m_openFetches > 0 && fetch == m_lastFetchId;
+    if (stillInFlight && m_openFetches < MaxOpenFetches)
         fetchNext();
 }
 
 void PeerFetcher::onReply(const Endpoint &source, Revision after,
                           const std::optional<RecordsMessage> &message)
 {
-    --m_open;
+    --m_openFetches;
     const Revision before = m_log.revision();
     if (const auto *records = message ? std::get_if<Records>(&*message) : nullptr)
-        take(*records, after);
+        applyRecords(*records, after);
     // Without progress, asking the same peer again would go on forever.
     if (m_log.revision() == before)
-        drop(source);
+        dropSource(source);
     for (Source &known : m_sources) {
         if (known.records == source)
-            known.asked = false;
+            known.fetching = false;
     }
-    if (m_open == 0)
+    if (m_openFetches == 0)
         fetchNext();
 }
 
 // The log may have grown since the question: records count from the revision that was asked for.
-void PeerFetcher::take(const Records &records, Revision after)
+void PeerFetcher::applyRecords(const Records &records, Revision after)
 {
     Revision last = after;
     if (!records.snapshotShards.empty()) {
@@ -94,7 +94,7 @@
     }
 }
 
-void PeerFetcher::drop(const Endpoint &source)
+void PeerFetcher::dropSource(const Endpoint &source)
 {
     std::erase_if(m_sources, [&](const Source &known) { return known.records == source; });
 }
--- a/src/core/control/peer_fetcher.h
+++ b/src/core/control/peer_fetcher.h
@@ -24,29 +24,29 @@
     }
 
     /// \brief A peer has this revision in force.
-    void heard(Revision revision, const Endpoint &records);
+    void onPeerRevision(Revision revision, const Endpoint &records);
 
 private:
     struct Source
     {
         Endpoint records;
         Revision revision;
-        bool asked = false;
+        bool fetching = false;
     };
 
     void fetchNext();
-    void fetchElsewhere(std::uint64_t fetch);
+    void hedgeSlowFetch(std::uint64_t fetch);
     void onReply(const Endpoint &source, Revision after,
                  const std::optional<RecordsMessage> &message);
-    void take(const Records &records, Revision after);
-    void drop(const Endpoint &source);
+    void applyRecords(const Records &records, Revision after);
+    void dropSource(const Endpoint &source);
 
     ControlContext &m_context;
     ConfigLog &m_log;
     LogReader &m_reader;
     std::vector<Source> m_sources;
-    std::uint64_t m_fetches = 0; ///< Ever begun.
-    std::size_t m_open = 0;      ///< Under way now.
+    std::uint64_t m_lastFetchId = 0; ///< Ever begun.
+    std::size_t m_openFetches = 0;   ///< Under way now.
 };
 
 } // namespace baobabtrail
