--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-constexpr Duration RolePeriod = 1s; ///< How often a daemon looks whether it became a watcher.
-constexpr Duration WatchGrace = 1s; ///< A watch may be this much later than a list.
-constexpr Duration ShortWatch = 200ms;
-constexpr int SeldomFactor = 6;    ///< Daemons that need not call do so this much less often.
-constexpr int RemoteFactor = 12;   ///< The same for comparing revisions across domains.
-constexpr int OldConfigFactor = 3; ///< Periods without confirmation that make one ask itself.
+constexpr Duration RoleCheckPeriod = 1s; ///< How often a daemon looks whether it became a watcher.
+constexpr Duration WatchGrace = 1s;      ///< A watch may be this much later than a list.
+constexpr Duration MinWatchDuration = 200ms;
+constexpr int NonWatcherPeriodFactor
+    = 6; ///< Daemons that need not call do so this much less often.
+constexpr int NonWatcherRemoteTicks = 12; ///< The same for comparing revisions across domains.
+constexpr int MaxUnconfirmedPeriods = 3; ///< Periods without confirmation that make one ask itself.
 
-[[nodiscard]] bool lists(const VmList &list, DaemonId daemon)
+[[nodiscard]] bool containsVm(const VmList &list, DaemonId daemon)
 {
     return std::any_of(list.vms.begin(), list.vms.end(),
                        [&](const VmEntry &vm) { return vm.daemon == daemon; });
@@ -37,7 +38,7 @@
 {
     readAtStart();
     pollVms();
-    m_context.after(withJitter(m_context.random(), RolePeriod), [this] { startWatch(); });
+    m_context.after(withJitter(m_context.random(), RoleCheckPeriod), [this] { startWatch(); });
     m_context.after(withJitter(m_context.random(), m_context.settings().antiEntropyPeriod),
                     [this] { listPeriodically(); });
     m_context.after(withJitter(m_context.random(), m_context.settings().antiEntropyPeriod),
@@ -75,7 +76,7 @@
         return;
     // Without a version to begin behind, a watch would return the whole log.
     if (!rank() || m_version.isNull()) {
-        m_context.after(RolePeriod, [this] { startWatch(); });
+        m_context.after(RoleCheckPeriod, [this] { startWatch(); });
         return;
     }
     m_watching = true;
@@ -83,18 +84,18 @@
     const WatchObjects request{std::string{LogPrefix}, m_version, m_context.settings().watchWait};
     m_context.call(request,
                    [this, epoch, startedAt = m_context.now()](const PlatformResult &result) {
-                       onWatch(epoch, startedAt, result);
+                       onWatchReply(epoch, startedAt, result);
                    });
 }
 
-void Watcher::onWatch(std::uint64_t epoch, TimePoint startedAt, const PlatformResult &result)
+void Watcher::onWatchReply(std::uint64_t epoch, TimePoint startedAt, const PlatformResult &result)
 {
     if (epoch != m_watchEpoch)
         return; // Given up as silent; another one has taken its place.
     m_watching = false;
     ++m_watchReplies;
     if (const auto *list = std::get_if<ObjectList>(&result))
-        return onWatched(*list, startedAt);
+        return applyWatchReply(*list, startedAt);
     // The same watch would be refused for ever: the list brings a version that the store knows.
     if (std::holds_alternative<HistoryCompacted>(result))
         readLog();
@@ -103,7 +104,7 @@
     m_context.after(m_watchBackoff.next(m_context.random(), atLeast), [this] { startWatch(); });
 }
 
-void Watcher::onWatched(const ObjectList &list, TimePoint startedAt)
+void Watcher::applyWatchReply(const ObjectList &list, TimePoint startedAt)
 {
     m_watchBackoff.reset();
     m_version = std::max(m_version, list.latest);
@@ -112,16 +113,16 @@
     if (m_reader.take(list))
         readLog(); // The watch skipped something.
     // A watch that returns at once with nothing would turn into a stream of calls.
-    const bool tooShort = list.objects.empty() && m_context.now() - startedAt < ShortWatch;
+    const bool tooShort = list.objects.empty() && m_context.now() - startedAt < MinWatchDuration;
     if (tooShort)
-        m_context.after(ShortWatch, [this] { startWatch(); });
+        m_context.after(MinWatchDuration, [this] { startWatch(); });
     else
         startWatch();
 }
 
 // A watch can die without a word, or skip an object: it then waits on while the log grows. The
 // list finds the record, and a watch that stays silent after that is replaced.
-void Watcher::checkWatch(std::uint64_t replies)
+void Watcher::replaceStalledWatch(std::uint64_t replies)
 {
     if (!m_watching || replies != m_watchReplies)
         return;
@@ -135,7 +136,7 @@
 {
     m_context.after(withJitter(m_context.random(), m_context.settings().antiEntropyPeriod),
                     [this] { listPeriodically(); });
-    if (shouldRead())
+    if (shouldReadLog())
         readLog();
 }
 
@@ -153,11 +154,11 @@
             return;
         m_version = std::max(m_version, done->latest);
         if (m_log.revision() != before && m_watching)
-            m_context.after(WatchGrace, [this, replies] { checkWatch(replies); });
+            m_context.after(WatchGrace, [this, replies] { replaceStalledWatch(replies); });
     });
 }
 
-bool Watcher::shouldRead()
+bool Watcher::shouldReadLog()
 {
     if (m_readNotBefore && m_context.now() < *m_readNotBefore)
         return false;
@@ -166,7 +167,7 @@
     // The watchers may be cut off alone. Whoever has heard nothing for long asks itself, each
     // with such a chance that the domain together asks as often as its watchers would.
     const Duration period = m_context.settings().antiEntropyPeriod;
-    if (m_age() < OldConfigFactor * period)
+    if (m_age() < MaxUnconfirmedPeriods * period)
         return false;
     return m_context.pick(m_swim.memberCount()) < m_context.settings().watchersPerDomain;
 }
@@ -181,17 +182,17 @@
     }
     m_context.call(ListVms{}, [this, needed, period](const PlatformResult &result) {
         if (const auto *list = std::get_if<VmList>(&result)) {
-            m_listed = m_listed || lists(*list, m_context.identity().daemon);
+            m_listed = m_listed || containsVm(*list, m_context.identity().daemon);
             m_vmBackoff.reset();
             m_swim.takeVmList(*list);
-            m_context.after(nextPoll(), [this] { pollVms(); });
+            m_context.after(vmPollDelay(), [this] { pollVms(); });
             return;
         }
         const auto *failure = std::get_if<PlatformFailure>(&result);
         Duration wait
             = m_vmBackoff.next(m_context.random(), failure ? failure->retryAfter : Duration{0});
         if (!needed)
-            wait = std::max(wait, withJitter(m_context.random(), period * SeldomFactor));
+            wait = std::max(wait, withJitter(m_context.random(), period * NonWatcherPeriodFactor));
         m_context.after(wait, [this] { pollVms(); });
     });
 }
@@ -199,12 +200,12 @@
 // VMs that start together all read a list that lags behind them. Each would know only itself for a
 // whole period: it would place work on its own and take a change that it alone has for in force
 // everywhere. Asking again soon, and ever less often, costs a lonely daemon a few calls.
-Duration Watcher::nextPoll()
+Duration Watcher::vmPollDelay()
 {
     const Duration period = withJitter(m_context.random(), m_context.settings().vmListPeriod);
     if (m_swim.hasPeers() && m_listed)
         return period;
-    return std::min(period, m_aloneBackoff.next(m_context.random(), Duration{0}));
+    return std::min(period, m_discoveryBackoff.next(m_context.random(), Duration{0}));
 }
 
 // A failure domain that is cut off from the platform learns of changes from the others.
@@ -212,8 +213,8 @@
 {
     const Duration period = m_context.settings().antiEntropyPeriod;
     m_context.after(withJitter(m_context.random(), period), [this] { compareWithRemote(); });
-    const bool seldom = m_remoteTicks++ % RemoteFactor != 0;
-    if (rank() || !seldom)
+    const bool skipped = m_remoteTicks++ % NonWatcherRemoteTicks != 0;
+    if (rank() || !skipped)
         m_swim.pingRemote();
 }
 
--- a/src/core/control/watcher.h
+++ b/src/core/control/watcher.h
@@ -28,14 +28,14 @@
 private:
     void readAtStart();
     void startWatch();
-    void onWatch(std::uint64_t epoch, TimePoint startedAt, const PlatformResult &result);
-    void onWatched(const ObjectList &list, TimePoint startedAt);
-    void checkWatch(std::uint64_t replies);
+    void onWatchReply(std::uint64_t epoch, TimePoint startedAt, const PlatformResult &result);
+    void applyWatchReply(const ObjectList &list, TimePoint startedAt);
+    void replaceStalledWatch(std::uint64_t replies);
     void listPeriodically();
     void readLog();
-    [[nodiscard]] bool shouldRead();
+    [[nodiscard]] bool shouldReadLog();
     void pollVms();
-    [[nodiscard]] Duration nextPoll();
+    [[nodiscard]] Duration vmPollDelay();
     void compareWithRemote();
     void snapshotPeriodically();
 
@@ -48,7 +48,7 @@
     Backoff m_startBackoff{200ms, 3s};
     Backoff m_watchBackoff{200ms, 3s};
     Backoff m_vmBackoff{1s, 10s};
-    Backoff m_aloneBackoff{400ms, 10s};
+    Backoff m_discoveryBackoff{400ms, 10s};
     ObjectVersion m_version; ///< Newest that a list or watch has shown.
     std::uint64_t m_watchEpoch = 0;
     std::uint64_t m_watchReplies = 0;
