--- a/src/core/control/quarantine_check.cpp
+++ b/src/core/control/quarantine_check.cpp
@@ -44,7 +44,7 @@
                                                      " which daemons are live can't be read"});
             return pending->done(std::move(findings));
         }
-        m_swim.takeVmList(*list);
+        m_swim.applyVmList(*list);
         for (const VmEntry &vm : list->vms)
             pending->live.emplace(vm.daemon, vm.domain);
         queryDomains(pending);
--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -184,7 +184,7 @@
         if (const auto *list = std::get_if<VmList>(&result)) {
             m_listed = m_listed || containsVm(*list, m_context.identity().daemon);
             m_vmBackoff.reset();
-            m_swim.takeVmList(*list);
+            m_swim.applyVmList(*list);
             m_context.after(vmPollDelay(), [this] { pollVms(); });
             return;
         }
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -9,9 +9,9 @@
 
 /// A rumor that a dead member is alive can go round for a while; and a member that was only cut
 /// off is pinged again now and then, which needs its address.
-constexpr Duration DeadKept = 10min;
+constexpr Duration DeadRetention = 10min;
 
-[[nodiscard]] int overriding(MemberState state) noexcept
+[[nodiscard]] int precedence(MemberState state) noexcept
 {
     switch (state) {
     case MemberState::Alive:
@@ -31,7 +31,7 @@
 bool isNewer(const MemberUpdate &update, const MemberUpdate &known) noexcept
 {
     const auto order = [](const MemberUpdate &news) {
-        return std::tuple{news.incarnation, news.version, overriding(news.state)};
+        return std::tuple{news.incarnation, news.version, precedence(news.state)};
     };
     return order(update) > order(known);
 }
@@ -57,11 +57,11 @@
     return Merge::Unchanged;
 }
 
-void MemberTable::forgetDead(TimePoint now)
+void MemberTable::eraseDead(TimePoint now)
 {
     std::erase_if(m_entries, [&](const auto &item) {
         const MemberEntry &entry = item.second;
-        return entry.update.state == MemberState::Dead && now - entry.changedAt > DeadKept;
+        return entry.update.state == MemberState::Dead && now - entry.changedAt > DeadRetention;
     });
 }
 
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -32,7 +32,7 @@
     /// \brief Takes news where it is newer; the revision is raised in any case.
     Merge merge(const MemberUpdate &update, TimePoint now);
     /// \brief Forgets members that are dead for long.
-    void forgetDead(TimePoint now);
+    void eraseDead(TimePoint now);
 
     [[nodiscard]] MemberEntry *find(DaemonId id);
     [[nodiscard]] const std::map<DaemonId, MemberEntry> &entries() const noexcept
--- a/src/core/membership/remote_members.cpp
+++ b/src/core/membership/remote_members.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Duration DeadKept = 60s;
-constexpr Duration HeardRecently = 90s; ///< A daemon that spoke since then is not dead.
+constexpr Duration DeadRetention = 60s;
+constexpr Duration ContactTimeout = 90s; ///< A daemon that spoke since then is not dead.
 constexpr std::size_t MaxEntries = 8192;
 
 } // namespace
@@ -23,8 +23,8 @@
     return true;
 }
 
-std::vector<DaemonId> RemoteMembers::takeVmList(const std::vector<VmEntry> &vms,
-                                                const std::string &ownDomain, TimePoint now)
+std::vector<DaemonId> RemoteMembers::applyVmList(const std::vector<VmEntry> &vms,
+                                                 const std::string &ownDomain, TimePoint now)
 {
     std::vector<DaemonId> news;
     for (auto &[id, entry] : m_entries)
@@ -54,7 +54,7 @@
 
     for (auto &[id, entry] : m_entries) {
         // The list lags: a daemon that answers is there, listed or not.
-        if (entry.listed || (entry.heard && now - entry.heardAt < HeardRecently))
+        if (entry.listed || (entry.heard && now - entry.heardAt < ContactTimeout))
             continue;
         if (setState(entry, MemberState::Dead, now))
             news.push_back(id);
@@ -64,7 +64,7 @@
     return news;
 }
 
-bool RemoteMembers::takeRumor(const MemberUpdate &update, TimePoint now)
+bool RemoteMembers::applyRumor(const MemberUpdate &update, TimePoint now)
 {
     const auto known = m_entries.find(update.daemon);
     if (known == m_entries.end()) {
@@ -90,7 +90,7 @@
         };
         if (rank(update.state) <= rank(entry.update.state))
             return false;
-        const bool speaks = entry.heard && now - entry.heardAt < HeardRecently;
+        const bool speaks = entry.heard && now - entry.heardAt < ContactTimeout;
         if (update.state == MemberState::Dead && speaks)
             return false;
         return setState(entry, update.state, now);
@@ -101,7 +101,7 @@
     return true;
 }
 
-bool RemoteMembers::takeDirect(const MemberUpdate &update, TimePoint now)
+bool RemoteMembers::applyDirect(const MemberUpdate &update, TimePoint now)
 {
     const auto [position, added] = m_entries.try_emplace(update.daemon);
     Entry &entry = position->second;
@@ -129,11 +129,11 @@
         known->second.update.revision = std::max(known->second.update.revision, revision);
 }
 
-void RemoteMembers::forgetDead(TimePoint now)
+void RemoteMembers::eraseDead(TimePoint now)
 {
     std::erase_if(m_entries, [&](const auto &item) {
         const Entry &entry = item.second;
-        return entry.update.state == MemberState::Dead && now - entry.changedAt > DeadKept;
+        return entry.update.state == MemberState::Dead && now - entry.changedAt > DeadRetention;
     });
 }
 
--- a/src/core/membership/remote_members.h
+++ b/src/core/membership/remote_members.h
@@ -20,15 +20,15 @@
 public:
     /// \brief Takes the VM list. \return News to pass on; none for the first list, which every
     /// daemon reads for itself when it starts.
-    [[nodiscard]] std::vector<DaemonId> takeVmList(const std::vector<VmEntry> &vms,
-                                                   const std::string &ownDomain, TimePoint now);
+    [[nodiscard]] std::vector<DaemonId> applyVmList(const std::vector<VmEntry> &vms,
+                                                    const std::string &ownDomain, TimePoint now);
     /// \brief Takes what another daemon passed on. \return Whether it is news to pass on.
-    [[nodiscard]] bool takeRumor(const MemberUpdate &update, TimePoint now);
+    [[nodiscard]] bool applyRumor(const MemberUpdate &update, TimePoint now);
     /// \brief Takes what a daemon said of itself. \return Whether it is news to pass on.
-    [[nodiscard]] bool takeDirect(const MemberUpdate &update, TimePoint now);
+    [[nodiscard]] bool applyDirect(const MemberUpdate &update, TimePoint now);
     /// \brief Raises the revision that is known to be in force at a daemon.
     void raiseRevision(DaemonId id, Revision revision);
-    void forgetDead(TimePoint now);
+    void eraseDead(TimePoint now);
 
     [[nodiscard]] const MemberUpdate *find(DaemonId id) const;
     [[nodiscard]] std::vector<const MemberUpdate *> present() const;
--- a/src/core/membership/swim.cpp
+++ b/src/core/membership/swim.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr std::size_t IndirectPings = 3;
-constexpr std::uint64_t LostPingTicks = 5; ///< A member believed dead is pinged this seldom.
+constexpr std::uint64_t DeadPingTicks = 5; ///< A member believed dead is pinged this seldom.
 constexpr std::uint64_t SeedPingTicks = 5;
-constexpr std::uint64_t SeldomSeedPingTicks = 30;
+constexpr std::uint64_t ConnectedSeedPingTicks = 30;
 constexpr std::uint64_t SeedPingsPerTick = 2; ///< By all daemons of a domain together.
 constexpr int PingsBeforeRemoval = 2;
 constexpr std::size_t LeavePings = 8;
-constexpr std::uint32_t CandidateTries = 3;
-constexpr std::uint64_t CandidateRetryTicks = 10;
+constexpr std::uint32_t FastCandidateTries = 3;
+constexpr std::uint64_t SlowCandidateTicks = 10;
 
 } // namespace
 
-Swim::Swim(ControlContext &context, Heard heard, Age configAge)
+Swim::Swim(ControlContext &context, UpdateHandler heard, Age configAge)
     : m_context(context)
-    , m_heard(std::move(heard))
+    , m_onUpdate(std::move(heard))
     , m_configAge(std::move(configAge))
 {
     const NodeIdentity &identity = context.identity();
@@ -46,12 +46,12 @@
     pingNext();
     pingSuspects();
     pingCandidate();
-    if (m_ticks % LostPingTicks == 0)
-        pingLost();
+    if (m_ticks % DeadPingTicks == 0)
+        pingDead();
     if (isSeedDue())
         pingSeed();
-    m_table.forgetDead(m_context.now());
-    m_remote.forgetDead(m_context.now());
+    m_table.eraseDead(m_context.now());
+    m_remote.eraseDead(m_context.now());
 }
 
 // Daemons of one domain that start together find each other and nobody else while the VM list can't
@@ -61,7 +61,7 @@
 {
     if (!hasPeers())
         return true;
-    const std::uint64_t ticks = m_remote.empty() ? SeedPingTicks : SeldomSeedPingTicks;
+    const std::uint64_t ticks = m_remote.empty() ? SeedPingTicks : ConnectedSeedPingTicks;
     // There are a few seeds for all daemons: the larger the domain, the less often each one asks.
     const std::uint64_t every = std::max<std::uint64_t>(ticks, memberCount() / SeedPingsPerTick);
     return m_ticks % every == m_self.daemon.value() % every;
@@ -101,7 +101,7 @@
 {
     std::vector<Candidate *> due;
     for (auto &[id, candidate] : m_candidates) {
-        if (candidate.tries < CandidateTries || m_ticks % CandidateRetryTicks == 0)
+        if (candidate.tries < FastCandidateTries || m_ticks % SlowCandidateTicks == 0)
             due.push_back(&candidate);
     }
     if (due.empty())
@@ -112,7 +112,7 @@
 }
 
 // Both sides of a cut hold each other dead when it heals; someone has to speak first.
-void Swim::pingLost()
+void Swim::pingDead()
 {
     const std::vector<const MemberEntry *> dead = m_table.dead();
     if (dead.empty())
@@ -258,13 +258,13 @@
 
 void Swim::on(const Ping &ping, const PeerDatagram &datagram, const Endpoint &from)
 {
-    takeUpdates(ping.updates, datagram.from, ping.configAge);
+    applyUpdates(ping.updates, datagram.from, ping.configAge);
     m_context.send(from, PingAck{ping.sequence, updatesFor(datagram.from), m_configAge()});
 }
 
 void Swim::on(const IndirectPing &ping, const PeerDatagram &datagram, const Endpoint &from)
 {
-    takeUpdates(ping.updates, datagram.from, std::nullopt);
+    applyUpdates(ping.updates, datagram.from, std::nullopt);
     const std::uint64_t sequence = ++m_sequence;
     m_relays[sequence] = {from, ping.sequence};
     m_context.after(m_context.settings().pingPeriod,
@@ -274,7 +274,7 @@
 
 void Swim::on(const PingAck &ack, const PeerDatagram &datagram, const Endpoint &)
 {
-    takeUpdates(ack.updates, datagram.from, ack.configAge);
+    applyUpdates(ack.updates, datagram.from, ack.configAge);
     m_pending.erase(ack.sequence);
     const auto relay = m_relays.extract(ack.sequence);
     if (!relay)
--- a/src/core/membership/swim.h
+++ b/src/core/membership/swim.h
@@ -22,16 +22,16 @@
 {
 public:
     /// \brief Called with what a daemon said of itself, and the age of its configuration.
-    using Heard = std::function<void(const MemberUpdate &, std::optional<Duration>)>;
+    using UpdateHandler = std::function<void(const MemberUpdate &, std::optional<Duration>)>;
     using Age = std::function<std::optional<Duration>()>;
 
-    Swim(ControlContext &context, Heard heard, Age configAge);
+    Swim(ControlContext &context, UpdateHandler heard, Age configAge);
 
     void start();
     void receive(const PeerDatagram &datagram, const Endpoint &from);
-    void takeVmList(const VmList &list);
+    void applyVmList(const VmList &list);
     /// \brief Takes what a peer answered to FetchStatus.
-    void takeStatus(const DomainStatus &status);
+    void applyStatus(const DomainStatus &status);
     void announceLeave();
     /// \brief After a pause of this process: what it waited for says nothing of the others.
     void onStall();
@@ -77,7 +77,7 @@
     void pingNext();
     void pingSuspects();
     void pingCandidate();
-    void pingLost();
+    void pingDead();
     [[nodiscard]] bool isSeedDue() const;
     void pingSeed();
     void pingMember(const MemberUpdate &member);
@@ -93,19 +93,19 @@
     void on(const IndirectPing &ping, const PeerDatagram &datagram, const Endpoint &from);
     void on(const PingAck &ack, const PeerDatagram &datagram, const Endpoint &from);
 
-    void takeUpdates(const std::vector<MemberUpdate> &updates, DaemonId sender,
-                     std::optional<Duration> age);
-    void takeDirect(const MemberUpdate &update, std::optional<Duration> age);
-    void takeRumor(const MemberUpdate &update, bool passOn);
-    void takeNewsOfSelf(const MemberUpdate &update);
+    void applyUpdates(const std::vector<MemberUpdate> &updates, DaemonId sender,
+                      std::optional<Duration> age);
+    void applyDirect(const MemberUpdate &update, std::optional<Duration> age);
+    void applyRumor(const MemberUpdate &update, bool passOn);
+    void applyUpdateOfSelf(const MemberUpdate &update);
     void refute(std::uint32_t version);
-    void askForMembers(const MemberUpdate &peer);
+    void fetchMembers(const MemberUpdate &peer);
     [[nodiscard]] std::vector<MemberUpdate> updatesFor(DaemonId recipient);
     [[nodiscard]] const MemberUpdate *lookUp(DaemonId id);
-    void addFill(std::vector<MemberUpdate> &updates);
+    void addRandomMember(std::vector<MemberUpdate> &updates);
 
     ControlContext &m_context;
-    Heard m_heard;
+    UpdateHandler m_onUpdate;
     Age m_configAge;
     MemberUpdate m_self;
     MemberTable m_table;
@@ -119,8 +119,8 @@
     std::uint64_t m_ticks = 0;
     std::size_t m_nextRemoteDomain = 0;
     std::optional<TimePoint> m_leavingHintRefutedAt;
-    bool m_membersKnown = false; ///< Whether a peer told all that it knows.
-    bool m_askingForMembers = false;
+    bool m_membersFetched = false; ///< Whether a peer told all that it knows.
+    bool m_fetchingMembers = false;
     bool m_changed = true;
 };
 
--- a/src/core/membership/swim_news.cpp
+++ b/src/core/membership/swim_updates.cpp
@@ -12,43 +12,43 @@
 namespace {
 
 constexpr std::size_t MaxUpdates = 8; ///< On one ping, the sender's own included.
-constexpr Duration LeavingHintPatience = 60s;
+constexpr Duration LeavingHintTimeout = 60s;
 
 } // namespace
 
-void Swim::takeUpdates(const std::vector<MemberUpdate> &updates, DaemonId sender,
-                       std::optional<Duration> age)
+void Swim::applyUpdates(const std::vector<MemberUpdate> &updates, DaemonId sender,
+                        std::optional<Duration> age)
 {
     for (const MemberUpdate &update : updates) {
         if (update.daemon == m_self.daemon)
-            takeNewsOfSelf(update);
+            applyUpdateOfSelf(update);
         else if (update.daemon == sender)
-            takeDirect(update, age);
+            applyDirect(update, age);
         else
-            takeRumor(update, true);
+            applyRumor(update, true);
     }
 }
 
-void Swim::takeDirect(const MemberUpdate &update, std::optional<Duration> age)
+void Swim::applyDirect(const MemberUpdate &update, std::optional<Duration> age)
 {
     if (update.domain != m_self.domain) {
-        if (m_remote.takeDirect(update, m_context.now()))
+        if (m_remote.applyDirect(update, m_context.now()))
             m_rumors.add(update.daemon);
-        m_heard(update, age);
+        m_onUpdate(update, age);
         return;
     }
-    takeRumor(update, true);
+    applyRumor(update, true);
     if (MemberEntry *entry = m_table.find(update.daemon)) {
         entry->heardAt = m_context.now();
-        askForMembers(update);
+        fetchMembers(update);
     }
-    m_heard(update, age);
+    m_onUpdate(update, age);
 }
 
-void Swim::takeRumor(const MemberUpdate &update, bool passOn)
+void Swim::applyRumor(const MemberUpdate &update, bool passOn)
 {
     if (update.domain != m_self.domain) {
-        if (m_remote.takeRumor(update, m_context.now()) && passOn)
+        if (m_remote.applyRumor(update, m_context.now()) && passOn)
             m_rumors.add(update.daemon);
         return;
     }
@@ -68,7 +68,7 @@
     scheduleRemoval(entry);
 }
 
-void Swim::takeNewsOfSelf(const MemberUpdate &update)
+void Swim::applyUpdateOfSelf(const MemberUpdate &update)
 {
     if (update.incarnation > m_self.incarnation) {
         m_context.notice(Severity::Error, Part::Membership,
@@ -87,7 +87,7 @@
     const TimePoint now = m_context.now();
     if (!m_leavingHintRefutedAt)
         m_leavingHintRefutedAt = now;
-    if (now - *m_leavingHintRefutedAt < LeavingHintPatience)
+    if (now - *m_leavingHintRefutedAt < LeavingHintTimeout)
         return;
     m_leavingHintRefutedAt = now;
     refute(update.version);
@@ -100,32 +100,32 @@
 
 // A daemon that has just started knows nobody: one answer with all members is far cheaper than
 // hearing of each on pings.
-void Swim::askForMembers(const MemberUpdate &peer)
+void Swim::fetchMembers(const MemberUpdate &peer)
 {
-    if (m_membersKnown || m_askingForMembers)
+    if (m_membersFetched || m_fetchingMembers)
         return;
-    m_askingForMembers = true;
+    m_fetchingMembers = true;
     m_context.fetch(peer.records, FetchStatus{}, [this](const auto &message) {
-        m_askingForMembers = false;
+        m_fetchingMembers = false;
         const auto *status = message ? std::get_if<DomainStatus>(&*message) : nullptr;
         if (!status)
             return;
-        m_membersKnown = true;
-        takeStatus(*status);
+        m_membersFetched = true;
+        applyStatus(*status);
     });
 }
 
-void Swim::takeStatus(const DomainStatus &status)
+void Swim::applyStatus(const DomainStatus &status)
 {
     for (const MemberUpdate &update : status.members) {
         if (update.daemon != m_self.daemon)
-            takeRumor(update, false);
+            applyRumor(update, false);
     }
 }
 
-void Swim::takeVmList(const VmList &list)
+void Swim::applyVmList(const VmList &list)
 {
-    for (const DaemonId id : m_remote.takeVmList(list.vms, m_self.domain, m_context.now()))
+    for (const DaemonId id : m_remote.applyVmList(list.vms, m_self.domain, m_context.now()))
         m_rumors.add(id);
 
     std::map<DaemonId, Candidate> candidates;
@@ -142,7 +142,7 @@
             continue;
         MemberUpdate hint = entry->update;
         hint.state = MemberState::Leaving;
-        takeRumor(hint, true);
+        applyRumor(hint, true);
     }
     m_candidates = std::move(candidates);
 }
@@ -163,12 +163,12 @@
             updates.push_back(*update);
     }
     if (updates.size() < MaxUpdates)
-        addFill(updates);
+        addRandomMember(updates);
     return updates;
 }
 
 // Rumors can miss a daemon. One entry at random on each ping makes views equal again in time.
-void Swim::addFill(std::vector<MemberUpdate> &updates)
+void Swim::addRandomMember(std::vector<MemberUpdate> &updates)
 {
     const std::map<DaemonId, MemberEntry> &members = m_table.entries();
     const std::size_t count = members.size() + m_remote.size();
