--- a/src/core/control/backoff.h
+++ b/src/core/control/backoff.h
@@ -11,9 +11,9 @@
 {
 public:
     constexpr Backoff() noexcept = default;
-    constexpr Backoff(Duration first, Duration most) noexcept
+    constexpr Backoff(Duration first, Duration max) noexcept
         : m_first(first)
-        , m_max(most)
+        , m_max(max)
         , m_next(first)
     {
     }
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -30,8 +30,8 @@
 
 bool isNewer(const MemberUpdate &update, const MemberUpdate &known) noexcept
 {
-    const auto order = [](const MemberUpdate &news) {
-        return std::tuple{news.incarnation, news.version, precedence(news.state)};
+    const auto order = [](const MemberUpdate &value) {
+        return std::tuple{value.incarnation, value.version, precedence(value.state)};
     };
     return order(update) > order(known);
 }
--- a/src/core/membership/remote_members.cpp
+++ b/src/core/membership/remote_members.cpp
@@ -26,7 +26,7 @@
 std::vector<DaemonId> RemoteMembers::applyVmList(const std::vector<VmEntry> &vms,
                                                  const std::string &ownDomain, TimePoint now)
 {
-    std::vector<DaemonId> news;
+    std::vector<DaemonId> changed;
     for (auto &[id, entry] : m_entries)
         entry.listed = false;
 
@@ -49,7 +49,7 @@
         }
         const MemberState state = vm.leaving ? MemberState::Leaving : MemberState::Alive;
         if (setState(entry, state, now) || added || moved)
-            news.push_back(vm.daemon);
+            changed.push_back(vm.daemon);
     }
 
     for (auto &[id, entry] : m_entries) {
@@ -57,11 +57,11 @@
         if (entry.listed || (entry.heard && now - entry.heardAt < ContactTimeout))
             continue;
         if (setState(entry, MemberState::Dead, now))
-            news.push_back(id);
+            changed.push_back(id);
     }
     if (!std::exchange(m_listed, true))
-        news.clear();
-    return news;
+        changed.clear();
+    return changed;
 }
 
 bool RemoteMembers::applyRumor(const MemberUpdate &update, TimePoint now)
@@ -90,8 +90,8 @@
         };
         if (rank(update.state) <= rank(entry.update.state))
             return false;
-        const bool speaks = entry.heard && now - entry.heardAt < ContactTimeout;
-        if (update.state == MemberState::Dead && speaks)
+        const bool recentContact = entry.heard && now - entry.heardAt < ContactTimeout;
+        if (update.state == MemberState::Dead && recentContact)
             return false;
         return setState(entry, update.state, now);
     }
@@ -113,13 +113,13 @@
     entry.heard = true;
     if (before.incarnation == update.incarnation)
         entry.update.revision = std::max(before.revision, update.revision);
-    const bool news = added || before.state != update.state || before.address != update.address
-                      || before.records != update.records || before.domain != update.domain;
-    if (news) {
+    const bool changed = added || before.state != update.state || before.address != update.address
+                         || before.records != update.records || before.domain != update.domain;
+    if (changed) {
         entry.changedAt = now;
         m_changed = true;
     }
-    return news;
+    return changed;
 }
 
 void RemoteMembers::raiseRevision(DaemonId id, Revision revision)
--- a/src/core/membership/rumors.cpp
+++ b/src/core/membership/rumors.cpp
@@ -20,13 +20,13 @@
     items.reserve(m_sent.size());
     for (const auto &[member, sent] : m_sent)
         items.emplace_back(sent, member);
-    const std::size_t taken = std::min(count, items.size());
-    std::partial_sort(items.begin(), items.begin() + static_cast<std::ptrdiff_t>(taken),
+    const std::size_t picked = std::min(count, items.size());
+    std::partial_sort(items.begin(), items.begin() + static_cast<std::ptrdiff_t>(picked),
                       items.end());
 
     const auto limit = SendsPerDoubling * static_cast<std::uint32_t>(std::bit_width(members + 1));
     std::vector<DaemonId> result;
-    for (std::size_t i = 0; i < taken; ++i) {
+    for (std::size_t i = 0; i < picked; ++i) {
         const DaemonId member = items[i].second;
         result.push_back(member);
         if (++m_sent[member] >= limit)
--- a/src/core/membership/swim.cpp
+++ b/src/core/membership/swim.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-Swim::Swim(ControlContext &context, UpdateHandler heard, Age configAge)
+Swim::Swim(ControlContext &context, UpdateHandler onUpdate, Age configAge)
     : m_context(context)
-    , m_onUpdate(std::move(heard))
+    , m_onUpdate(std::move(onUpdate))
     , m_configAge(std::move(configAge))
 {
     const NodeIdentity &identity = context.identity();
@@ -221,9 +221,10 @@
     MemberEntry *entry = m_table.find(id);
     if (!entry || m_context.now() < entry->suspectUntil)
         return;
-    const bool silentLeaver = entry->update.state == MemberState::Leaving
-                              && entry->heardAt + m_context.settings().suspicion <= m_context.now();
-    if (entry->update.state != MemberState::Suspect && !silentLeaver)
+    const bool silentSinceLeaving
+        = entry->update.state == MemberState::Leaving
+          && entry->heardAt + m_context.settings().suspicion <= m_context.now();
+    if (entry->update.state != MemberState::Suspect && !silentSinceLeaving)
         return;
     entry->update.state = MemberState::Dead;
     entry->changedAt = m_context.now();
--- a/src/core/membership/swim.h
+++ b/src/core/membership/swim.h
@@ -25,7 +25,7 @@
     using UpdateHandler = std::function<void(const MemberUpdate &, std::optional<Duration>)>;
     using Age = std::function<std::optional<Duration>()>;
 
-    Swim(ControlContext &context, UpdateHandler heard, Age configAge);
+    Swim(ControlContext &context, UpdateHandler onUpdate, Age configAge);
 
     void start();
     void receive(const PeerDatagram &datagram, const Endpoint &from);
--- a/src/core/membership/watchers.cpp
+++ b/src/core/membership/watchers.cpp
@@ -15,13 +15,13 @@
         if (member.state == MemberState::Alive || member.state == MemberState::Suspect)
             candidates.push_back(&member);
     }
-    const std::size_t taken = std::min(count, candidates.size());
+    const std::size_t picked = std::min(count, candidates.size());
     const auto score
         = [&](const Member *member) { return impl::hashPair(domainHash, member->id.value()); };
-    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(taken),
+    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(picked),
                       candidates.end(),
                       [&](const Member *a, const Member *b) { return score(a) > score(b); });
-    candidates.resize(taken);
+    candidates.resize(picked);
     return candidates;
 }
 
