--- a/src/core/direct/cold_target_limiter.cpp
+++ b/src/core/direct/cold_target_limiter.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr Duration Span = 1s;
-/// While settings change, the owners of before and those of now may both believe that they are the
-/// ones: each set takes half of the rate.
+/// While a change of settings reaches the daemons, the former and the new set of owners are active
+/// at the same time: each set has half of the rate.
 constexpr double OverlappingOwnerSets = 2.0;
 
 } // namespace
@@ -16,7 +16,8 @@
 void ColdTargetLimiter::setOwners(std::size_t owners, bool isOwner, TimePoint now)
 {
     m_owners = owners;
-    // A process that has just started does not know what it opened a moment before.
+    // After a restart the process doesn't know what it opened within the last second: it opens
+    // nothing for one second.
     if (isOwner && !m_isOwner)
         m_ownerSince = now;
     m_isOwner = isOwner;
--- a/src/core/direct/cold_target_limiter.h
+++ b/src/core/direct/cold_target_limiter.h
@@ -8,22 +8,24 @@
 
 namespace baobabtrail {
 
-/// \brief Bounds what all daemons together open at a cold target in any span of a second.
+/// \brief Limits the rate at which all daemons together open flows at a cold target, over any
+/// window of one second.
 ///
-/// Hundreds of daemons that each kept to a share of the rate would still exceed it in some second:
-/// one flow each is enough. So only a few open flows at cold targets at all: the roots, whom every
-/// daemon knows from its settings. Each of them keeps to a fixed part of the rate, whoever else is
-/// alive; the others use the targets that are warm.
+/// If hundreds of daemons each had a share of the rate, one flow from each would already exceed it
+/// within a second. Therefore only a few daemons, the owners of the rate, open flows at cold
+/// targets: the roots, which every daemon knows from its settings. Each owner has a fixed part of
+/// the rate, whichever other owners are alive; all other daemons use warm targets only.
 class ColdTargetLimiter
 {
 public:
-    /// \param owners Daemons that share the rate. \param isOwner Whether this is one of them.
+    /// \param owners Number of daemons that share the rate.
+    /// \param isOwner Whether this daemon is one of them.
     void setOwners(std::size_t owners, bool isOwner, TimePoint now);
     /// \return Whether this daemon may open a flow at the cold target now.
     [[nodiscard]] bool admits(TargetId target, const ColdLimit &limit, TimePoint now) const;
-    /// \brief This daemon has opened a flow there.
+    /// \brief Counts a flow that this daemon has opened at the cold target.
     void placed(TargetId target, TimePoint now);
-    /// \brief Forgets what is older than a second; to be called about once a second.
+    /// \brief Erases counts older than a second; to be called about once a second.
     void expire(TimePoint now);
 
 private:
--- a/src/core/direct/held_segments.h
+++ b/src/core/direct/held_segments.h
@@ -10,8 +10,8 @@
 
 namespace baobabtrail {
 
-/// \brief The bytes of requests that wait for room at their targets, by flow, in the order in which
-/// they came.
+/// \brief Buffers the segments of requests that wait for their saturated targets, by flow and in
+/// order of arrival.
 class HeldSegments
 {
 public:
@@ -21,13 +21,13 @@
         std::string payload;
     };
 
-    /// \param maxBytes Kept at once, over all flows.
+    /// \param maxBytes Bound on the buffered payload of all flows together.
     explicit HeldSegments(std::size_t maxBytes) noexcept
         : m_maxBytes(maxBytes)
     {
     }
 
-    /// \return Whether there was space; else the segment was not kept.
+    /// \return Whether there was space; the segment is not buffered otherwise.
     bool push(const Segment &segment, std::string_view payload)
     {
         if (m_bytes + payload.size() > m_maxBytes)
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /// \return The flow's segments, which are no longer kept.
+    /// \brief Removes and returns the flow's segments.
     [[nodiscard]] std::vector<Held> take(const FlowKey &flow)
     {
         const auto found = m_held.find(flow);
--- a/src/core/direct/label_table.cpp
+++ b/src/core/direct/label_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Fingerprints of one target: the second is for a target whose first is taken.
+/// Hash salts: the second gives a label to a target whose first one collides.
 constexpr std::array<std::uint64_t, 2> Salts{1, 2};
 
 [[nodiscard]] FlowLabel fingerprint(TargetId target, std::uint64_t salt) noexcept
--- a/src/core/direct/mechanisms.h
+++ b/src/core/direct/mechanisms.h
@@ -9,32 +9,33 @@
 
 namespace baobabtrail {
 
-/// \brief What of the decisions on flows and requests can be switched off, to measure its worth.
+/// \brief Parts of the decisions on flows and requests that an experiment can switch off, to
+/// measure what each contributes.
 enum class Mechanism : std::size_t {
-    OwnDomainFirst, ///< New flows stay in the daemon's failure domain unless its targets are busy.
+    OwnDomainFirst, ///< New flows stay in the local failure domain unless its targets are busy.
     Slowness,       ///< A target that answers slower than its peers counts as more loaded.
-    SlownessFades,  ///< What was learnt of a target's speed is forgotten within seconds.
-    OpenFlowWeight, ///< Flows that are open count as load, also while they ask for nothing.
-    Suspicion,      ///< Targets that leave several flows without a sign get no new ones.
-    Probes,         ///< Targets that leave a flow without a sign are tried by a connection.
-    Lapses,         ///< Registrations that went with an outage of the store may come back.
-    LapsedAlike,    ///< While most have lapsed, these get new flows like the others.
-    MovedOpenings,  ///< A first segment that comes again may go to another target.
-    WaitForView,    ///< Segments that come before the directory wait for it.
-    HoldRequests,   ///< Requests on open flows wait here while their target is saturated.
-    NewestFirst,    ///< Of these, the newest goes first; else the oldest.
-    Priorities,     ///< Of these, the more urgent goes first.
+    SlownessFades,  ///< A target's measured slowness decays within seconds.
+    OpenFlowWeight, ///< Open flows count as load, also while no request is in flight.
+    Suspicion,      ///< Targets that don't respond to several flows get no new ones.
+    Probes,         ///< A target that doesn't respond to a flow is probed by a TCP connection.
+    Lapses,         ///< Registrations that vanished with a store outage may still be valid.
+    LapsedAlike,    ///< While most targets have lapsed, lapsed ones get new flows like the others.
+    MovedOpenings,  ///< A retransmitted opening segment may go to another target.
+    WaitForView,    ///< Segments that arrive before the directory is complete wait for it.
+    HoldRequests,   ///< Requests on open flows are held while their target is saturated.
+    NewestFirst,    ///< Of the held requests the newest goes first; else the oldest.
+    Priorities,     ///< Of the held requests the most urgent goes first.
     Count,
 };
 
-/// Names of Mechanism, for settings and the log.
+/// Names of the mechanisms in settings and the log, in the order of Mechanism.
 inline constexpr std::array<std::string_view, static_cast<std::size_t>(Mechanism::Count)>
     MechanismNames{"ownDomainFirst", "slowness",    "slownessFades", "openFlowWeight",
                    "suspicion",      "probes",      "lapses",        "lapsedAlike",
                    "movedOpenings",  "waitForView", "holdRequests",  "newestFirst",
                    "priorities"};
 
-/// \return The mechanism of that name, or nothing.
+/// \return The mechanism of that name, or nothing where the name is unknown.
 [[nodiscard]] constexpr std::optional<Mechanism> mechanismNamed(std::string_view name) noexcept
 {
     for (std::size_t index = 0; index < MechanismNames.size(); ++index) {
@@ -44,7 +45,7 @@
     return std::nullopt;
 }
 
-/// \brief The mechanisms that are in use: all, unless an experiment leaves some out.
+/// \brief The mechanisms that are enabled: all, unless an experiment disables some.
 class Mechanisms
 {
 public:
@@ -62,7 +63,7 @@
     std::bitset<static_cast<std::size_t>(Mechanism::Count)> m_without;
 };
 
-/// \return The names of those that are left out, with blanks between.
+/// \return The names of the disabled mechanisms, separated by spaces.
 [[nodiscard]] inline std::string toString(const Mechanisms &mechanisms)
 {
     std::string out;
--- a/src/core/direct/probe_scheduler.cpp
+++ b/src/core/direct/probe_scheduler.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/// Connections that are tried at once: each takes a descriptor and some of a small processor.
+/// Each probe takes a file descriptor and part of a small CPU.
 constexpr std::size_t MaxConcurrentProbes = 16;
-/// Silent targets of a domain within this time that are more than chance.
+/// Failed targets of a domain within SweepWindow that are more than coincidence.
 constexpr std::uint32_t MinSilentForSweep = 2;
 constexpr Duration SweepWindow = 1s;
-/// Between two sweeps of a domain.
+/// Least time between two sweeps of the same domain.
 constexpr Duration MinSweepInterval = 2s;
 
 } // namespace
--- a/src/core/direct/probe_scheduler.h
+++ b/src/core/direct/probe_scheduler.h
@@ -12,33 +12,35 @@
 
 namespace baobabtrail {
 
-/// \brief What a try to connect to a target has shown.
+/// \brief Result of a TCP connection that was attempted to check a target's health.
 enum class ProbeOutcome {
-    Alive,        ///< Its machine took the connection.
-    Refused,      ///< Its machine answered, and did not take it: the target is gone, or full.
-    TimedOut,     ///< No answer in time.
-    Inconclusive, ///< This process was late itself.
+    Alive,        ///< The host accepted the connection.
+    Refused,      ///< The host answered and refused it: the target is gone, or full.
+    TimedOut,     ///< No answer within the timeout.
+    Inconclusive, ///< This process was late itself, so a timeout proves nothing.
 };
 
-/// \brief Decides when a target is tried by a connection, so that no caller has to wait to find
-/// out whether it is still there.
+/// \brief Decides when targets are probed by a connection.
 ///
-/// A daemon sees so few flows to each of many targets that it would take seconds to learn from
-/// them alone that a target, or a whole failure domain, has gone dark.
+/// A daemon sees so few flows to each of many targets that it would take seconds to detect from
+/// traffic alone that a target, or a whole failure domain, is unreachable. Probes detect it without
+/// callers that have to wait.
 class ProbeScheduler
 {
 public:
-    /// \brief Asks for a probe of a target that callers wait for, ahead of all others; does nothing
-    /// where one is under way.
+    /// \brief Queues a probe ahead of all others, for a target that callers wait for; no effect
+    /// while one is running.
     void requestFirst(TargetId target);
-    /// \brief Asks for a probe; does nothing where one is waiting or under way.
+    /// \brief Queues a probe; no effect while one is queued or running.
     void request(TargetId target);
-    /// \return Those that are to begin now, each of them once.
+    /// \brief Takes the targets whose probes start now, up to the bound on concurrent probes.
     [[nodiscard]] std::vector<TargetId> startNext();
+    /// \brief The target's probe has ended: another one may start.
     void finished(TargetId target);
 
-    /// \brief One more target of the failure domain has proved silent.
-    /// \return Whether its others are to be tried too: several went at about the same time.
+    /// \brief Counts a target of the failure domain whose first probe has failed.
+    /// \return Whether to probe the domain's other targets too, as several failed at about the same
+    /// time.
     [[nodiscard]] bool shouldSweep(const std::string &domain, TimePoint now);
 
 private:
@@ -50,7 +52,7 @@
     };
 
     std::deque<TargetId> m_waiting;
-    std::set<TargetId> m_pending; ///< Waiting or under way.
+    std::set<TargetId> m_pending; ///< Queued or running.
     std::size_t m_running = 0;
     std::map<std::string, Sweep> m_sweeps;
 };
--- a/src/core/direct/segment.h
+++ b/src/core/direct/segment.h
@@ -7,15 +7,17 @@
 
 namespace baobabtrail {
 
-/// \brief 32 bits that a daemon writes into a flow's first segment and both ends bring back: they
-/// say which target holds the flow. 0 where nothing was written yet.
+/// \brief 32 bits that identify the target of a flow; 0 where no daemon has written them yet.
+///
+/// A daemon writes the label into the flow's first segment, and both ends echo it in all later
+/// ones.
 using FlowLabel = StrongId<struct FlowLabelTag, std::uint32_t>;
 
-/// \brief Both ends of a flow as its caller sees them.
+/// \brief The two endpoints of a flow as its caller sees them.
 struct FlowKey
 {
     Endpoint caller;
-    Endpoint service; ///< Address of a route.
+    Endpoint service; ///< Address of the route.
 
     friend constexpr auto operator<=>(const FlowKey &, const FlowKey &) noexcept = default;
     friend std::size_t hash_value(const FlowKey &key) noexcept
@@ -30,21 +32,21 @@
     std::size_t operator()(const FlowKey &key) const noexcept { return hash_value(key); }
 };
 
-/// \brief One packet from a caller: what of its header matters to a load balancer.
+/// \brief A packet from a caller, reduced to the header fields that a load balancer needs.
 struct Segment
 {
     FlowKey flow;
-    std::uint32_t sequence = 0;     ///< Of its first byte.
-    std::uint32_t acknowledged = 0; ///< First byte that the caller has not received yet.
+    std::uint32_t sequence = 0;     ///< Sequence number of the first data byte.
+    std::uint32_t acknowledged = 0; ///< Sequence number of the next byte that the caller expects.
     FlowLabel label;
-    std::uint16_t length = 0;     ///< Bytes of data.
-    std::uint8_t retransmits = 0; ///< Only of an opening segment: how often it was sent before.
+    std::uint16_t length = 0;     ///< Payload in bytes.
+    std::uint8_t retransmits = 0; ///< Times an opening segment was sent before; 0 for others.
     bool opens = false;
     bool finishes = false;
     bool aborts = false;
 };
 
-/// \return Whether sequence number \a a is later than \a b, which may have wrapped round.
+/// \return Whether sequence number \a a comes after \a b, modulo 2^32.
 [[nodiscard]] constexpr bool isLater(std::uint32_t a, std::uint32_t b) noexcept
 {
     return static_cast<std::int32_t>(a - b) > 0;
--- a/src/core/direct/waiting_segments.h
+++ b/src/core/direct/waiting_segments.h
@@ -10,10 +10,10 @@
 
 namespace baobabtrail {
 
-/// \brief Segments that came before the directory, the oldest first.
+/// \brief A bounded queue of segments that arrived before the directory was complete.
 ///
-/// After a fault that took all daemons, packets reach the first ones before these have read the
-/// directory. Dropped, each would come again only after 200 to 600 ms.
+/// After a fault that stopped all daemons, packets reach the first ones that restart before these
+/// have read the directory. A dropped segment would be retransmitted only after 200 to 600 ms.
 class WaitingSegments
 {
 public:
@@ -24,8 +24,9 @@
         TimePoint since{};
     };
 
-    /// \param payload Handed back with the segment.
-    /// \return Whether there was space without dropping an older segment.
+    /// \brief Appends a segment; drops the oldest one where the queue is full.
+    /// \param payload Returned with the segment by take().
+    /// \return Whether there was space without dropping a segment.
     bool push(const Segment &segment, std::string_view payload, TimePoint now)
     {
         const bool space = m_waiting.size() < Capacity;
@@ -35,7 +36,7 @@
         return space;
     }
 
-    /// \return All that waits and whose callers still wait too; nothing waits any more then.
+    /// \brief Empties the queue and returns the segments whose callers still wait, oldest first.
     [[nodiscard]] std::deque<Waiting> take(TimePoint now)
     {
         std::deque<Waiting> out = std::exchange(m_waiting, {});
@@ -47,9 +48,9 @@
     [[nodiscard]] std::size_t size() const noexcept { return m_waiting.size(); }
 
 private:
-    /// Segments of at most 1.2 KB each: 1.2 MB.
+    /// 1.2 MB of memory at most, as a segment has up to 1.2 KB.
     static constexpr std::size_t Capacity = 1024;
-    /// Callers that open a flow give up after this.
+    /// Callers that open a flow time out after this.
     static constexpr Duration MaxWait = 1400ms;
 
     std::deque<Waiting> m_waiting;
