--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// Share of a new answer in the moving mean: about the last five answers count.
+/// Weight of a new answer in the moving average: about the last five answers count.
 constexpr double AnswerGain = 0.2;
-/// What was learnt of a target's speed fades by half in this time. A target that was slow once and
-/// has no other flow to show that it is well got 5 of 600 flows for ever; as it fades, 185 (virtual
-/// time).
+/// Half-life of a target's measured slowness. Without the decay, a target that was slow once and
+/// has no other flow that would show its recovery got 5 of 600 flows for ever; with it, 185 (in a
+/// test in virtual time).
 constexpr Duration SpeedHalfLife = 2s;
-/// Bounds of how much slower or faster than usual a target may count.
+/// Bounds of a target's answer time relative to the average.
 constexpr double MaxSlowness = 8.0;
 constexpr double MinSlowness = 0.8;
-/// Probes that must fail in a row before they are believed: a single one may be a lost packet.
+/// Probes that must fail in a row before a target counts as down: a single failure may be a lost
+/// packet.
 constexpr std::uint32_t FailedProbesToConfirm = 2;
 
 [[nodiscard]] double secondsOf(Duration duration) noexcept
@@ -90,15 +91,16 @@
     DirectTarget *target = find(id);
     if (!target || target->goneAt || target->lapsedAt)
         return;
-    // A target that had announced its end has not lapsed: it left.
+    // A draining target had announced its end: it has left, and not lapsed.
     if (lapsed && !target->entry.draining && has(Mechanism::Lapses))
         target->lapsedAt = now;
     else
         target->goneAt = now;
 }
 
-// Nobody can register while the store is away, also where it was back for a moment: taken for gone
-// then, a living target loses its open flows.
+// No target can register while the store is away. The time therefore counts from the store's last
+// return: where it came back for a moment only, a live target would be declared gone and lose its
+// open flows.
 bool DirectTargets::stayedAway(const DirectTarget &target, const StoreStatus &store) const noexcept
 {
     if (!target.lapsedAt || !store.confirmedAt)
@@ -186,7 +188,8 @@
     return limit == m_coldLimits.end() ? nullptr : &limit->second;
 }
 
-// Whoever has been away comes back cold, and its own word may be a second behind.
+// A target that was unreachable may have restarted cold, and its own registration, which says so,
+// may arrive a second late.
 void DirectTargets::mayBeCold(DirectTarget &target, TimePoint now) noexcept
 {
     const auto limit = m_coldLimits.find(target.entry.service);
@@ -209,7 +212,7 @@
         return false;
     if (state == DirectTargetState::Healthy)
         return !target.probePending;
-    // Probes find out whether it is back; no caller has to.
+    // Its recovery is detected by probes, at no caller's expense.
     if (target.probesFailed > 0)
         return false;
     const TimePoint tried = target.trialAt.value_or(target.unansweredSince);
@@ -245,14 +248,14 @@
             = std::clamp(target.answerMicros / averageMicros, MinSlowness, MaxSlowness);
         slowness *= 1.0 + (relative - 1.0) * faded;
     }
-    // One more request, and how much longer than usual it would take there.
+    // Load per slot with one more request, weighted by the target's slowness.
     const double slots = std::max<std::uint32_t>(target.entry.slots, 1);
     return (work + 1.0) / slots * slowness;
 }
 
-// A lapse says nothing against a target. With the first registration that is back, that target
-// would be the only one that is known: all daemons would send it all their new flows, far beyond
-// its room.
+// A lapsed registration is no sign of a failure. When the first target re-registers after an
+// outage, it would otherwise be the only candidate: all daemons would send it all their new flows,
+// far beyond its capacity.
 std::vector<DirectTarget *> &DirectTargets::eligible(Candidates &candidates) const
 {
     std::vector<DirectTarget *> &known = candidates.known;
@@ -278,7 +281,7 @@
             ties = 1;
             continue;
         }
-        // Equals are drawn evenly; else all daemons would begin with the same target.
+        // Uniform choice among equals, so that the daemons don't all start with the same target.
         ++ties;
         if (boost::random::uniform_int_distribution<std::uint32_t>{1, ties}(random) == 1)
             best = target;
@@ -322,7 +325,7 @@
         if (far && (!near || far->load() < near->load()))
             best = far;
     }
-    // When nobody seems to answer, what this daemon hears is the likelier fault.
+    // Where no target seems to answer, a fault of this daemon or its network is more likely.
     if (!best)
         best = leastLoaded(m_lastResort, now, random);
     if (best && state(*best) == DirectTargetState::Suspect)
@@ -354,8 +357,8 @@
         target.probesTimedOut = outcome == ProbeOutcome::TimedOut ? target.probesTimedOut + 1 : 0;
         return suspect != isSuspect(target);
     }
-    // A machine answers there again, but it may be another target's by now: one flow finds out.
-    // After a single failure, a packet of the probe was lost.
+    // A host answers at the address again, but the address may belong to another target by now: one
+    // trial flow shows it. After a single failure it was a lost packet, and no trial is needed.
     if (probeFailureConfirmed(target))
         allowTrialFlow(target, now);
     target.probesFailed = 0;
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -19,89 +19,91 @@
 
 namespace baobabtrail {
 
-/// \brief Why a target is thought of as it is.
+/// \brief State of a target as this daemon concludes it.
 enum class DirectTargetState {
     Healthy,
-    Suspect,   ///< Flows got no answer from it, or connections failed; no sign of life since.
-    Draining,  ///< Leaves; takes no new flow.
-    Evacuated, ///< The operator wants its failure domain empty; takes no new flow.
-    Lapsed,    ///< Its registration went with an outage of the store; it may come back.
-    Gone,      ///< No longer registered; open flows of its own still find it.
-    Refused,   ///< Its registration can't be read; takes no new flow until one can be.
+    Suspect,   ///< Flows got no answer from it, or probes failed; it has not responded since.
+    Draining,  ///< Shuts down or is drained; takes no new flow.
+    Evacuated, ///< The operator evacuates its failure domain; takes no new flow.
+    Lapsed,    ///< Its registration vanished with a store outage; it may still be valid.
+    Gone,      ///< No longer registered; its open flows are still forwarded to it.
+    Refused,   ///< Its registration is unreadable; takes no new flow until a valid one.
 };
 
-/// \brief Bounds of what is concluded from segments that pass.
+/// \brief Settings for the placement of flows and the health of targets.
 struct DirectSettings
 {
-    /// Flows that wait for the same silent target before it gets no new one. One lost packet is
-    /// usual (a link may lose 2.5%), two in a row without any answer between are not.
+    /// Flows that wait for an answer of the same target before it becomes suspect and gets no new
+    /// one. One lost packet is normal (a link may lose 2.5%); two in a row without any answer in
+    /// between are not.
     std::uint32_t suspectAfter = 2;
-    /// A suspect gets one new flow this often, to find out whether it is back.
+    /// A suspect target gets one new flow per such interval, to detect its recovery.
     Duration trialEvery = 2s;
-    /// A lapsed registration counts until the store has answered for this long without it: targets
-    /// that live are back within two seconds of its return.
+    /// A lapsed registration may still be valid until the store has answered for this long without
+    /// it: live targets re-register within two seconds of the store's return.
     Duration lapsedFor = 2500ms;
-    /// Longest that a departed target's flows are still forwarded to it; flows are at most this
-    /// old.
+    /// The flows of a deregistered target are forwarded to it for this long; flows live no longer
+    /// than that.
     Duration flowLifetime = 60s;
-    /// Flows whose load is counted at once; memory about 128 bytes each.
+    /// Bound on tracked flows; each takes about 128 bytes of memory. Others are forwarded by label.
     std::size_t maxFlows = 65536;
-    /// A flow without a segment for this long is forgotten where the configuration names no time.
+    /// A flow without a segment for this long is evicted, where the configuration names no time.
     Duration idleTimeout = 15s;
-    /// Requests in flight for each slot, as this daemon counts them, above which a target of
-    /// another failure domain is taken instead. Own counts are a part of the truth: the other
-    /// daemons of the domain place as much.
+    /// Requests in flight per slot, as counted by this daemon, above which new flows spill over to
+    /// another failure domain. The count is only a part of the target's load, as the other daemons
+    /// of the domain place as much.
     double spillAbove = 0.75;
-    /// Weight of an open flow beside a request in flight: a feed asks about once a second, and an
-    /// answer takes some 25 to 60 ms.
+    /// Load of an open flow relative to a request in flight: a feed sends about one request a
+    /// second, and an answer takes some 25 to 60 ms.
     double openFlowWeight = 0.04;
     OverloadSettings overload{};
-    Mechanisms mechanisms{}; ///< What an experiment leaves out.
+    Mechanisms mechanisms{}; ///< All but those that an experiment disables.
 };
 
-/// \brief What the store last said of all targets, and whether it could be told of them.
+/// \brief When the store last confirmed the list of targets, and when targets could register.
 struct StoreStatus
 {
-    std::optional<TimePoint> confirmedAt; ///< Nothing where it can't be vouched for.
-    std::optional<TimePoint> returnedAt;  ///< When the store came back from being away, last.
+    std::optional<TimePoint> confirmedAt; ///< Nothing where it is not confirmed.
+    std::optional<TimePoint> returnedAt;  ///< End of the store's last outage.
 };
 
-/// \brief What is known of a target whose flows pass through this daemon.
+/// \brief Registration, load and health of a target, as seen by this daemon.
 struct DirectTarget
 {
     RegisteredTarget entry;
-    bool local = false;     ///< In this daemon's own failure domain.
-    bool evacuated = false; ///< Its failure domain is.
-    bool refused = false;   ///< \a entry is the last one that could be read; a newer one can't.
-    /// Counts the starts under this id that were seen; a flow belongs to one of them.
+    bool local = false;     ///< In the failure domain of this daemon.
+    bool evacuated = false; ///< Its failure domain is evacuated.
+    bool refused = false;   ///< A newer registration than \a entry is unreadable.
+    /// Counts the restarts under this id that were seen; a flow belongs to one incarnation.
     std::uint32_t incarnation = 0;
-    TimePoint coldUntil{}; ///< It bears little until then. \see ColdLimit
+    TimePoint coldUntil{}; ///< Opens at a limited rate until then. \see ColdLimit
     std::optional<TimePoint> lapsedAt;
     std::optional<TimePoint> goneAt;
 
     std::uint32_t openFlows = 0;
-    std::uint32_t opening = 0;  ///< First segments without an answer so far.
-    std::uint32_t inFlight = 0; ///< Requests without an answer so far.
-    std::uint32_t held = 0;     ///< Requests that wait here to go there.
-
-    /// \return What this daemon has put on the target. What is held does not count: new flows
-    /// went further away for it, and more daemons shared each target: 0.36 in time instead of 0.43
-    /// at three times the usual traffic.
+    std::uint32_t opening = 0;  ///< Flows whose opening segment is not answered yet.
+    std::uint32_t inFlight = 0; ///< Requests that are not answered yet.
+    std::uint32_t held = 0;     ///< Requests that this daemon holds for it.
+
+    /// \return Requests and openings that this daemon has sent to the target. Held requests don't
+    /// count: where they did, new flows spilled over to other domains and more daemons shared each
+    /// target, so that at three times the usual traffic a share of 0.36 of the requests was in time
+    /// instead of 0.43.
     [[nodiscard]] std::uint32_t load() const noexcept { return inFlight + opening; }
 
-    std::optional<TimePoint> heardAt; ///< Last sign that it lives.
-    std::uint32_t unanswered = 0;     ///< Flows that wait in vain since that sign.
+    std::optional<TimePoint> heardAt; ///< Last response that was seen.
+    std::uint32_t unanswered = 0;     ///< Flows that wait for a response since then.
     TimePoint unansweredSince{};
-    std::optional<TimePoint> trialAt; ///< Last flow that was offered while it was suspect.
-    bool probePending = false;        ///< Left a flow without a sign, and is being tried.
-    std::uint32_t probesFailed = 0;   ///< In a row, since the last sign that it lives.
-    std::uint32_t probesTimedOut = 0; ///< Of these, the last ones that got no answer at all.
+    std::optional<TimePoint> trialAt; ///< Last trial flow while it was suspect.
+    bool probePending = false;        ///< A flow got no response; a probe is due.
+    std::uint32_t probesFailed = 0;   ///< In a row, since the last response.
+    std::uint32_t probesTimedOut = 0; ///< Of these, the last ones in a row that timed out.
     TimePoint probedAt{};             ///< End of the last probe.
-    double answerMicros = 0;          ///< Moving mean of the time to the answer; 0 for none yet.
+    double answerMicros = 0;          ///< Moving average of answer times; 0 for none yet.
     TimePoint answeredAt{};
 };
 
-/// \brief All targets that the directory names, and the choice among them.
+/// \brief All targets in the directory: their states, and the choice of one for a new flow.
 class DirectTargets
 {
 public:
@@ -111,32 +113,35 @@
     {
     }
 
-    /// \return Whether the target has started again under its id: what was learnt of it is
-    /// forgotten then, and its flows are gone.
+    /// \brief Adds or updates a registration.
+    /// \return Whether the target has restarted under the same id: its flows are gone, and its
+    /// measurements are reset.
     bool put(const RegisteredTarget &entry, TimePoint now);
-    /// \brief What the targets of each service bear while they are cold.
+    /// \brief Sets the rates of new flows that cold targets accept, by service.
     void setColdLimits(std::map<ServiceId, ColdLimit> limits) { m_coldLimits = std::move(limits); }
-    /// \brief Which daemons open flows at cold targets. \see ColdTargetLimiter::setOwners
+    /// \brief Sets the daemons that open flows at cold targets. \see ColdTargetLimiter::setOwners
     void setColdOwners(std::size_t owners, bool isOwner, TimePoint now)
     {
         m_cold.setOwners(owners, isOwner, now);
     }
-    /// \brief The target's registration was replaced by one that can't be read.
+    /// \brief The target's registration was replaced by an unreadable one.
     void refuse(TargetId target);
-    /// \param lapsed The store was away a moment ago: the target may live on.
+    /// \brief The target's registration has vanished.
+    /// \param lapsed Whether a store outage may be the cause, so that the target may be alive.
     void remove(TargetId target, bool lapsed, TimePoint now);
-    /// \brief A failure domain gets no new flows from now on, or gets them again.
-    /// \return Whether that is new.
+    /// \brief Begins or ends the evacuation of a failure domain, which gets no new flows meanwhile.
+    /// \return Whether this is a change.
     bool setEvacuated(const std::string &domain, bool evacuated, TimePoint now);
-    /// \return Failure domains that get no new flows, and since when this daemon knows.
+    /// \return Evacuated failure domains, and when this daemon learnt of the evacuation.
     [[nodiscard]] const std::map<std::string, TimePoint> &evacuatedDomains() const noexcept
     {
         return m_evacuated;
     }
-    /// \return Flows of this daemon at the domain's targets.
+    /// \return Open flows of this daemon at the domain's targets.
     [[nodiscard]] std::uint64_t openFlowsIn(const std::string &domain) const;
-    /// \brief Forgets targets that are gone for longer than a flow lives, and ends lapses.
-    /// \param ended Called for each target whose lapse has ended.
+    /// \brief Evicts targets that are gone for longer than a flow lives, and declares lapsed ones
+    /// gone that have not re-registered in time.
+    /// \param ended Called for each lapsed target that is declared gone.
     void expire(TimePoint now, const StoreStatus &store,
                 const std::function<void(const DirectTarget &)> &ended);
 
@@ -152,36 +157,38 @@
         return m_targets;
     }
 
-    /// \brief Chooses the target of a new flow: the least loaded of the own failure domain that
-    /// answers, else one of another domain, else whatever there is.
-    /// \param except A target that has just proved silent; null id for none.
-    /// \return The target, or null where the service has none that takes flows.
+    /// \brief Chooses the target of a new flow: the least loaded healthy one of the local failure
+    /// domain, else one of another domain, else a suspect or lapsed one.
+    /// \param except The former target of the flow, which is not healthy any more; null id for
+    /// none. \return The target, or null where the service has none that takes flows.
     [[nodiscard]] DirectTarget *choose(ServiceId service, TargetId except, TimePoint now,
                                        Random &random);
 
     [[nodiscard]] DirectTargetState state(const DirectTarget &target) const noexcept;
-    /// \return Whether it is suspect, also where it leaves for another cause besides.
+    /// \return Whether it gives no answers, also where state() names another state, such as
+    /// Draining.
     [[nodiscard]] bool isSuspect(const DirectTarget &target) const noexcept;
 
-    // Evidence, from segments that pass.
+    // Evidence of health, from probes and forwarded segments.
 
-    /// \brief A connection to the target was tried.
-    /// \return Whether that changed what is believed of it.
+    /// \brief A probe of the target has ended.
+    /// \return Whether the target has become suspect or has ceased to be.
     bool probed(DirectTarget &target, ProbeOutcome outcome, TimePoint now) noexcept;
-    /// \brief A silent target of the failure domain answers again: the others that are silent get
-    /// one flow each to find out.
+    /// \brief A target of the failure domain has recovered: the others whose probes have failed get
+    /// one trial flow each.
     void allowTrialFlows(const std::string &domain, TimePoint now) noexcept;
-    /// \return Whether enough probes in a row have failed to be believed.
+    /// \return Whether enough probes in a row have failed to rule out a lost packet.
     [[nodiscard]] bool probeFailureConfirmed(const DirectTarget &target) const noexcept;
-    /// \return Whether it is dark for now, so that its open flows may be ended: a caller that
-    /// repeats itself is one ground, and probes that nobody answered are the other. One that
-    /// refuses connections may be full, and serve the flows that it has.
+    /// \return Whether probes of the target time out. This and a caller that retransmits together
+    /// are grounds to end an open flow. A target that refuses connections may be full and still
+    /// serve its open flows.
     [[nodiscard]] bool isUnreachable(const DirectTarget &target) const noexcept;
-    /// \return Whether this ended a suspicion.
+    /// \brief The target has responded on a flow. \return Whether it ceases to be suspect.
     bool heard(DirectTarget &target, TimePoint now) noexcept;
-    /// \brief The target answered a request. \param took From the last byte of the request.
+    /// \brief The target has answered a request.
+    /// \param took Time since the last byte of the request.
     void answered(DirectTarget &target, Duration took, TimePoint now) noexcept;
-    /// \return Whether this made the target suspect.
+    /// \brief A flow got no response from the target. \return Whether it becomes suspect.
     bool unanswered(DirectTarget &target, TimePoint now) noexcept;
 
 private:
@@ -190,25 +197,25 @@
         return m_settings.mechanisms.has(mechanism);
     }
     [[nodiscard]] bool takesFlows(const DirectTarget &target, TimePoint now) const noexcept;
-    /// \return The bound that holds for the target now; null for none.
+    /// \return The rate limit that applies to the target now; null for none.
     [[nodiscard]] const ColdLimit *coldLimit(const DirectTarget &target,
                                              TimePoint now) const noexcept;
-    /// \return Whether the target could have registered again, and has not.
+    /// \return Whether the target had the time to re-register after the outage, and has not.
     [[nodiscard]] bool stayedAway(const DirectTarget &target,
                                   const StoreStatus &store) const noexcept;
-    /// \brief The target may have started anew, unseen.
+    /// \brief Treats the target as cold: it may have restarted unnoticed.
     void mayBeCold(DirectTarget &target, TimePoint now) noexcept;
-    /// \brief One flow finds out whether the target is back.
+    /// \brief Makes the target suspect and due for one trial flow, which shows whether it is back.
     void allowTrialFlow(DirectTarget &target, TimePoint now) noexcept;
     [[nodiscard]] bool admits(const DirectTarget &target, TimePoint now) const;
     [[nodiscard]] double cost(const DirectTarget &target, double averageMicros,
                               TimePoint now) const noexcept;
     [[nodiscard]] double averageAnswer(const std::vector<DirectTarget *> &among) const noexcept;
-    /// \brief Targets of one failure domain, or of all others, that may get a new flow.
+    /// \brief Targets of the local failure domain, or of all others, that may get a new flow.
     struct Candidates
     {
-        std::vector<DirectTarget *> known;  ///< Registered, and not silent.
-        std::vector<DirectTarget *> lapsed; ///< Their registrations went with an outage.
+        std::vector<DirectTarget *> known;  ///< Registered, and taking new flows.
+        std::vector<DirectTarget *> lapsed; ///< Their registrations vanished with an outage.
 
         void clear()
         {
@@ -217,7 +224,7 @@
         }
     };
 
-    /// \return Those among which to choose.
+    /// \return The targets from which to choose.
     [[nodiscard]] std::vector<DirectTarget *> &eligible(Candidates &candidates) const;
     [[nodiscard]] DirectTarget *leastLoaded(const std::vector<DirectTarget *> &among, TimePoint now,
                                             Random &random) const;
@@ -227,10 +234,10 @@
     LabelTable m_labels;
     ColdTargetLimiter m_cold;
     std::map<ServiceId, ColdLimit> m_coldLimits;
-    std::map<std::string, TimePoint> m_evacuated; ///< Failure domains.
+    std::map<std::string, TimePoint> m_evacuated; ///< By failure domain.
     std::unordered_map<TargetId, DirectTarget> m_targets;
     std::unordered_map<ServiceId, std::vector<TargetId>> m_services;
-    Candidates m_sameDomain; ///< Kept between calls to save allocations.
+    Candidates m_sameDomain; ///< Reused by each choose(), to save allocations.
     Candidates m_otherDomains;
     std::vector<DirectTarget *> m_lastResort;
 };
