--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Routes that were removed are remembered up to this many, to end their open flows at once.
+/// Bound on the removed routes that are retained, to reset their open flows at once.
 constexpr std::size_t MaxRemovedRoutes = 4096;
-/// A flow that both ends have closed is kept this long for segments that are sent again.
+/// A flow that both ends have closed is retained for this long, for retransmitted segments.
 constexpr Duration ClosingLinger = 2s;
-/// Both ends send again what was not acknowledged for 200 ms. What comes sooner behind the flow's
-/// newest bytes was overtaken on its way; taken for sent again, it made targets suspect that
-/// answered, and ended flows of targets that were leaving in good order.
+/// Both ends retransmit what was not acknowledged for 200 ms. Old bytes that arrive sooner after
+/// the flow's newest ones were reordered on the way. Counted as retransmissions, they made
+/// responsive targets suspect and reset flows of targets that were draining properly.
 constexpr Duration MinRetransmitDelay = 150ms;
-/// A request without an answer stops counting as work after this long where its route names no
-/// timeout: its caller has given up.
+/// A request without an answer stops counting as load after this long where its route names no
+/// timeout: its caller no longer waits.
 constexpr Duration MaxRequestTime = 10s;
 
-/// \return How long a caller has waited that sends its opening segment for the so-manieth time.
+/// \return How long a caller has waited when it retransmits its opening segment for the nth time.
 [[nodiscard]] Duration waitedBefore(std::uint8_t retransmits) noexcept
 {
     constexpr Duration first = 200ms;
@@ -82,7 +82,7 @@
     return m_targets.setEvacuated(domain, evacuated, now);
 }
 
-/// \return The target that holds the flow; null where it has started again since.
+/// \return The target of the flow; null where it is gone or has restarted since.
 DirectTarget *DirectRouter::targetOf(const Flow &flow)
 {
     DirectTarget *target = m_targets.find(flow.target);
@@ -119,7 +119,7 @@
         sum += share.weight;
     if (route.shares.size() == 1 || sum == 0)
         return route.shares.front().service;
-    // By the flow, not by chance: a first segment that comes again has to find the same service.
+    // By a hash of the flow, not at random: a retransmitted opening has to get the same service.
     std::uint64_t drawn = impl::hashPair(hash_value(flow), 0) % sum;
     for (const RouteShare &share : route.shares) {
         if (drawn < share.weight)
@@ -132,8 +132,8 @@
 SegmentVerdict DirectRouter::refuse(const Segment &segment, SegmentCause cause, ServiceId service)
 {
     decided(cause, segment, nullptr, service);
-    // A view that may be out of date is no ground for an answer that ends the caller's attempt: the
-    // address may be new, and the target that is missing here may just have registered.
+    // A directory that may be out of date is no ground for a reset, which ends the caller's
+    // attempt: the address may be new, and the missing target may just have registered.
     if (!m_fresh)
         return DropSegment{};
     return AbortFlow{segment.acknowledged};
@@ -152,11 +152,12 @@
         flow.seenAt = now;
         DirectTarget *before = targetOf(flow);
         if (before) {
-            // A copy that waited here with the first one says nothing: its target had no time.
+            // A retransmission that was delayed here together with the original is no sign of a
+            // silent target, which had no time to answer.
             if (flow.state == FlowState::Opening && now - flow.openedAt >= MinRetransmitDelay)
                 unanswered(flow, *before, now);
-            // A second target that answers too would confuse the caller. Only one that is known to
-            // be silent or leaving is given up.
+            // A second target that also answers would confuse the caller. The flow therefore moves
+            // only if its target is known to be silent or leaving.
             const DirectTargetState state = m_targets.state(*before);
             const bool moves = m_settings.mechanisms.has(Mechanism::MovedOpenings)
                                || state == DirectTargetState::Evacuated;
@@ -198,7 +199,7 @@
                                      ServiceId service, SegmentCause cause)
 {
     decided(cause, segment, &target, service);
-    // A label that leads to the target is left as it is, where another daemon wrote another one.
+    // A label that leads to the target stays, also where another daemon chose another one for it.
     const DirectTarget *named = segment.opens ? nullptr : m_targets.find(segment.label);
     const FlowLabel label = named == &target
                                 ? segment.label
@@ -222,9 +223,9 @@
     DirectTarget *named = m_targets.find(segment.label);
     if (known != m_flows.end()) {
         Flow &flow = known->second;
-        // The first segment behind the opening one names the target that the caller took, where
-        // two were offered. From then on the flow stays there: a late answer of the other one would
-        // replace the label that the caller brings, and the flow's own target would hear no more.
+        // Where two targets have answered the opening, the next segment names the one that the
+        // caller accepted, and the flow stays there. A later answer of the other one would replace
+        // the label that the caller echoes, and the flow's own target would get no more segments.
         if (flow.state == FlowState::Opening && named && named->entry.id != flow.target) {
             release(known->first, flow);
             flow.target = named->entry.id;
@@ -237,8 +238,8 @@
                 return hold(flow, *target, segment);
             sent(flow, *target, segment, now);
             if ((target->goneAt || m_targets.isUnreachable(*target)) && flow.retransmits > 0) {
-                // The target has left, or is dark, and acknowledges nothing: the caller would wait
-                // until its time is up. The end of the flow lets it ask again at once.
+                // The target is gone or unreachable, and acknowledges nothing: the caller would
+                // wait until its timeout. A reset lets it retry at once.
                 decided(SegmentCause::TargetGone, segment, target, flow.service);
                 release(known->first, flow);
                 m_flows.erase(known);
@@ -249,8 +250,8 @@
                                                                       : SegmentCause::Forwarded);
         }
         if (DirectTarget *restarted = m_targets.find(flow.target)) {
-            // The flow went with the target's last life. The new one tells the caller so itself;
-            // the flow is no load there, and what passes on it no sign of how the target does.
+            // The flow was lost when the target restarted, and the new process resets it itself. It
+            // is no load there, and its segments are no evidence of the target's health.
             dropHeld(known->first, flow);
             flow.state = FlowState::Closing;
             flow.seenAt = now;
@@ -273,7 +274,7 @@
         flow.received = segment.acknowledged;
         flow.openedAt = now;
         ++named->openFlows;
-        flow.hadRequest = true; // Whatever there was before, this daemon did not see the flow open.
+        flow.hadRequest = true; // This daemon didn't see the flow open; assume so.
         acknowledged(flow, *named, segment, now);
         if (tryHold(flow, *named, segment, now))
             return hold(flow, *named, segment);
@@ -296,8 +297,8 @@
     heard(flow, target, now);
     if (!flow.requested)
         return;
-    // Bytes that went through another daemon meanwhile: when the request went that this one
-    // answers is not known here. Taken for an answer of seconds, it made a target look saturated.
+    // Bytes in between went through another daemon, so it is unknown when the request was sent that
+    // this acknowledges. Measured as an answer that took seconds, it made a target look saturated.
     if (isLater(segment.sequence, flow.end))
         endRequest(flow, target);
     else
@@ -363,7 +364,7 @@
 
 void DirectRouter::unanswered(Flow &flow, DirectTarget &target, TimePoint now)
 {
-    // One flow is one witness, however often its caller sends again.
+    // A flow counts as evidence once, however often its caller retransmits.
     if (flow.retransmits < UINT8_MAX)
         ++flow.retransmits;
     if (flow.retransmits > 1)
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -17,19 +17,19 @@
 
 namespace baobabtrail {
 
-/// \brief Send the segment on to a target.
+/// \brief Verdict: forward the segment to a target.
 struct DeliverSegment
 {
     TargetId target;
     Endpoint address;
     FlowLabel label; ///< To be written into the segment.
 };
-/// \brief Tell the caller that its flow is over.
+/// \brief Verdict: reset the flow towards its caller.
 struct AbortFlow
 {
     std::uint32_t sequence = 0; ///< Within the caller's window.
 };
-/// \brief Say nothing; the caller sends again.
+/// \brief Verdict: drop the segment without an answer; the caller retransmits it.
 struct DropSegment
 {
 };
@@ -40,14 +40,14 @@
 };
 using SegmentVerdict = std::variant<DeliverSegment, AbortFlow, DropSegment, HoldSegment>;
 
-/// \brief What becomes of a request whose segments were held.
+/// \brief A held request is no longer held: its segments are to be forwarded or dropped.
 struct HeldRequestOutcome
 {
     FlowKey flow;
-    bool shouldForward = false; ///< Its segments are to be routed now; else they are to be dropped.
+    bool shouldForward = false; ///< Route its segments now; drop them otherwise.
 };
 
-/// \brief A target to which a connection is to be tried.
+/// \brief A target that is to be probed by a connection.
 struct ProbeRequest
 {
     TargetId target;
@@ -55,70 +55,70 @@
     Endpoint address;
 };
 
-/// \brief What was decided about a segment, by cause.
+/// \brief Decision on a segment, with its cause.
 enum class SegmentCause {
-    Forwarded,            ///< To the target that holds the flow.
-    Placed,               ///< A new flow, at the target that was chosen.
-    OpeningRetransmitted, ///< A first segment that came again, to the same target.
-    Retransmitted,        ///< Of an open flow, sent again: its target acknowledged nothing.
-    Moved,                ///< A first segment that came again, to another target than before.
+    Forwarded,            ///< Forwarded to the target of its flow.
+    Placed,               ///< Opens a new flow at the chosen target.
+    OpeningRetransmitted, ///< Retransmitted opening, sent to the same target.
+    Retransmitted,        ///< Retransmitted on an open flow: its target acknowledged nothing.
+    Moved,                ///< Retransmitted opening, sent to another target than before.
     NoRoute,              ///< No service has this address.
-    StaleView,    ///< No service has this address as far as is known, which may be out of date.
-    NoTarget,     ///< The service has no target that takes flows.
-    RouteRemoved, ///< An open flow of an address that is no longer served.
-    TargetGone,   ///< An open flow of a target that has left and no longer answers.
-    UnknownLabel, ///< The flow's target is not known here.
-    Held,         ///< A request on an open flow, whose target is saturated: it waits here.
-    Absorbed,     ///< Bytes sent again of a request that waits here.
-    Abandoned,    ///< A request that waited here until no answer could be in time any more.
+    StaleView,    ///< No service has this address in the directory, which may be out of date.
+    NoTarget,     ///< The service has no target that takes new flows.
+    RouteRemoved, ///< On an open flow to an address whose route was removed.
+    TargetGone,   ///< On an open flow of a target that is gone or down and doesn't answer.
+    UnknownLabel, ///< The label names no known target.
+    Held,         ///< A request on an open flow, held as its target is saturated.
+    Absorbed,     ///< Retransmitted bytes of a held request.
+    Abandoned,    ///< A held request, dropped as no answer could meet its deadline.
 };
 
-/// \brief A decision, for the log and the counters.
+/// \brief A decision on a segment, for the log and the metrics.
 struct SegmentDecision
 {
     SegmentCause cause = SegmentCause::Forwarded;
     const Segment &segment;
-    const DirectTarget *target = nullptr; ///< The one it went to, or failed at.
+    const DirectTarget *target = nullptr; ///< Target of the segment or of its flow; null for none.
     ServiceId service;
 };
 
-/// \brief A change of what is believed of a target.
+/// \brief A target's state has changed.
 struct TargetStateChange
 {
     const DirectTarget &target;
     DirectTargetState state = DirectTargetState::Healthy;
-    bool restarted = false; ///< Under its id: what was known of it is forgotten.
+    bool restarted = false; ///< Under the same id: its measurements were reset.
 };
 
-/// \brief Times that the daemon measured at flows, by service.
+/// \brief Kinds of latencies that the daemon measures on flows, by service.
 enum class FlowTime {
-    Open,   ///< From the first segment of a flow to the first one that shows it open.
-    Answer, ///< From the last byte of a request to the first of its answer.
-    Held,   ///< From the first byte of a request until it went on to its saturated target.
+    Open,   ///< From the opening segment to the first one that shows the flow open.
+    Answer, ///< From the last byte of a request to the acknowledgement of its answer.
+    Held,   ///< From the first byte of a held request until it was forwarded.
 };
 
-/// \brief A time that was measured at a flow.
+/// \brief A latency that was measured on a flow.
 struct FlowMeasurement
 {
     FlowTime time = FlowTime::Open;
     Duration took{0};
-    Duration average{0}; ///< What the target took lately; 0 for nothing known.
+    Duration average{0}; ///< Recent average of the target; 0 where none is known.
     const Segment &segment;
     const DirectTarget &target;
     ServiceId service;
 };
 
-/// \brief A target counts as saturated from now on, or no longer.
+/// \brief A target has become saturated, or has ceased to be.
 struct SaturationChange
 {
     const DirectTarget &target;
     bool saturated = false;
-    double window = 0;         ///< Requests of this daemon that it may have at once.
-    Duration averageAnswer{0}; ///< Moving mean that decided.
+    double window = 0;         ///< Requests of this daemon that it may have in flight.
+    Duration averageAnswer{0}; ///< Moving average of answer times that decided.
     ServiceId service;
 };
 
-/// \brief Told of what the router decides; every function may be empty.
+/// \brief Callbacks for the router's decisions; every function may be empty.
 struct DirectObserver
 {
     std::function<void(const SegmentDecision &)> decided;
@@ -130,57 +130,59 @@
 /// \brief Places flows whose targets answer their callers directly (direct server return), and
 /// forwards every later segment by its label.
 ///
-/// Only segments from callers pass. What is kept of a flow is accounting: without it, after a
-/// restart or at another daemon, the label alone finds the target.
+/// Only segments from callers pass through here. The state that is tracked per flow serves load
+/// accounting and health checks. Forwarding doesn't depend on it: after a restart, or at another
+/// daemon, the label alone finds the target.
 class DirectRouter
 {
 public:
     DirectRouter(std::string domain, DirectSettings settings, Random &random,
                  DirectObserver observer);
 
-    /// \param routes Newer than those in force.
+    /// \param routes Newer than the current ones.
     void setRoutes(RouteTablePtr routes);
-    /// \brief Whether the directory was confirmed lately; only then is a caller told that its
-    /// address is not served. \see AbortFlow
+    /// \brief Sets whether the directory was confirmed recently. Only then is a flow to an unserved
+    /// address reset; its segments are dropped otherwise. \see AbortFlow
     void setFresh(bool fresh) noexcept { m_fresh = fresh; }
     void putTarget(const RegisteredTarget &target, TimePoint now);
-    /// \brief Which daemons open flows at cold targets. \see ColdTargetLimiter::setOwners
+    /// \brief Sets the daemons that open flows at cold targets. \see ColdTargetLimiter::setOwners
     void setColdOwners(std::size_t owners, bool isOwner, TimePoint now)
     {
         m_targets.setColdOwners(owners, isOwner, now);
     }
-    /// \brief The target's registration can't be read any more: it takes no new flow, and those
-    /// that it holds stay.
+    /// \brief The target's new registration is unreadable: it gets no new flow, and its open flows
+    /// stay.
     void refuseTarget(TargetId target);
     void removeTarget(TargetId target, bool lapsed, TimePoint now);
-    /// \brief A failure domain gets no new flows from now on, or gets them again. Its open flows
-    /// stay where they are.
-    /// \return Whether that is new.
+    /// \brief Begins or ends the evacuation of a failure domain, which gets no new flows meanwhile.
+    /// Its open flows stay.
+    /// \return Whether this is a change.
     bool setEvacuated(const std::string &domain, bool evacuated, TimePoint now);
 
     [[nodiscard]] SegmentVerdict route(const Segment &segment, TimePoint now);
-    /// \return What has become of requests that were held, since the last call; to be asked after
-    /// each route() and each serveHeld().
+    /// \return Requests that are no longer held, since the last call; to be called after each
+    /// route() and each serveHeld().
     [[nodiscard]] std::vector<HeldRequestOutcome> takeHeldOutcomes()
     {
         return std::exchange(m_heldOutcomes, {});
     }
-    /// \brief Looks for requests that may go on or are given up; to be called every few
-    /// milliseconds while any are held.
+    /// \brief Forwards held requests for which there is room, and abandons those whose deadline
+    /// can't be met; to be called every few milliseconds while any are held.
     void serveHeld(TimePoint now);
-    /// \brief Lets all go that is held, and holds nothing from now on.
+    /// \brief Forwards all held requests, and holds none from now on.
     void stopHolding(TimePoint now);
-    /// \brief There is no space to hold a flow's request; it goes on.
+    /// \brief Forwards the held request of a flow, as there is no space to buffer it.
     void cancelHold(const FlowKey &flow, TimePoint now);
 
-    /// \brief Whether connections to targets can be tried. \see takeProbes
+    /// \brief Sets whether targets can be probed by connections. \see takeProbes
     void setProbing(bool probing) noexcept { m_probing = probing; }
-    /// \return Targets that are to be tried now; to be asked after each call that may want one.
+    /// \return Targets to probe now; to be called after each call that may request a probe.
     [[nodiscard]] std::vector<ProbeRequest> takeProbes();
-    /// \brief The outcome of a probe; to be told once for each.
+    /// \brief Reports the outcome of a probe; to be called once for each.
     void probed(const ProbeRequest &probe, ProbeOutcome outcome, TimePoint now);
 
-    /// \brief Forgets idle flows and, by the store's word, departed targets; about once a second.
+    /// \brief Evicts idle flows and, as the store confirms them, vanished targets; to be called
+    /// about once a second.
     void expire(TimePoint now, const StoreStatus &store);
 
     [[nodiscard]] std::size_t flows() const noexcept { return m_flows.size(); }
@@ -195,20 +197,20 @@
     {
         TargetId target;
         ServiceId service;
-        std::uint32_t incarnation = 0; ///< Of the target, which forgets its flows when it starts.
+        std::uint32_t incarnation = 0; ///< Of the target, which loses its flows on a restart.
         FlowState state = FlowState::Opening;
-        bool requested = false;       ///< A request waits for its answer.
-        bool held = false;            ///< A request waits to go to the target.
-        bool hadRequest = false;      ///< There was a request before.
-        std::uint8_t retransmits = 0; ///< Segments sent again since the target was heard last.
-        std::uint32_t end = 0;        ///< Behind the last byte that the caller has sent.
-        std::uint32_t heldEnd = 0;    ///< The same, with what is held.
-        std::uint32_t received = 0;   ///< Bytes that the caller has acknowledged.
-        TimePoint openedAt{};         ///< First segment that was seen here.
-        Duration waitedBefore{0};     ///< By the caller, before that one.
-        TimePoint establishedAt{};    ///< First segment that showed that its target had accepted.
-        TimePoint lastByteAt{};       ///< Of the request that waits.
-        TimePoint sentAt{};           ///< When the request that waits went to the target.
+        bool requested = false;       ///< A request is in flight.
+        bool held = false;            ///< A request is held here.
+        bool hadRequest = false;      ///< The flow has sent a request before.
+        std::uint8_t retransmits = 0; ///< Since the last response of the target.
+        std::uint32_t end = 0;        ///< Sequence number behind the last byte forwarded.
+        std::uint32_t heldEnd = 0;    ///< Sequence number behind the last byte held.
+        std::uint32_t received = 0;   ///< Sequence number that the caller has acknowledged.
+        TimePoint openedAt{};         ///< First segment that this daemon saw.
+        Duration waitedBefore{0};     ///< Time that the caller had waited before that one.
+        TimePoint establishedAt{};    ///< First segment that showed the flow accepted.
+        TimePoint lastByteAt{};       ///< Last byte of the request in flight.
+        TimePoint sentAt{};           ///< When the request in flight was forwarded.
         TimePoint seenAt{};
     };
 
@@ -244,9 +246,9 @@
                   const Flow &flow, const DirectTarget &target) const;
     void heard(Flow &flow, DirectTarget &target, TimePoint now);
     void unanswered(Flow &flow, DirectTarget &target, TimePoint now);
-    /// \brief A target has left a flow without a sign.
+    /// \brief Probes a target that gave no response on a flow.
     void requestProbe(DirectTarget &target);
-    /// \brief Tries all of a failure domain that were not heard lately.
+    /// \brief Probes the targets of a failure domain that have not responded recently.
     void sweep(const std::string &domain, TimePoint now);
     void reprobeFailed(TimePoint now);
     void release(const FlowKey &key, Flow &flow);
@@ -264,7 +266,7 @@
     bool m_probing = false;
     std::vector<HeldRequestOutcome> m_heldOutcomes;
     RouteTablePtr m_routes = std::make_shared<const RouteTable>();
-    std::map<Endpoint, ServiceId> m_removedRoutes; ///< Were served once, in this process' life.
+    std::map<Endpoint, ServiceId> m_removedRoutes; ///< Since this process started.
     bool m_fresh = false;
     boost::unordered_flat_map<FlowKey, Flow> m_flows;
 };
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Requests on open flows that wait for saturated targets.
+/// \brief Requests on open flows that are held while their targets are saturated.
 
 #include "core/direct/direct_router.h"
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The first request of a flow that was opened for it follows the end of the handshake at once.
+/// A first request that follows the handshake within this time is the one the flow was opened for.
 constexpr Duration RequestFollowsWithin = 20ms;
 
 } // namespace
@@ -27,11 +27,12 @@
     const std::uint32_t end = segment.sequence + segment.length;
     if (flow.requested || flow.state != FlowState::Open || !isLater(end, flow.end))
         return false;
-    // A target that is silent gives no answer for which to wait, and its flows have to show so.
+    // A silent target gives no answer that would release a held request, and only forwarded
+    // requests show that it is silent.
     if (m_targets.isSuspect(target) || target.goneAt)
         return false;
-    // A caller that opens a flow for a request has waited since the opening; one that opens it
-    // ahead has not.
+    // A caller that opened the flow for this request has waited since the opening; one that opened
+    // it in advance has waited since the request.
     const bool openedForIt = !flow.hadRequest && now - flow.establishedAt <= RequestFollowsWithin;
     const TimePoint begunAt = openedForIt ? flow.openedAt - flow.waitedBefore : now;
     const HeldRequest request{segment.flow, promiseOf(segment.flow), begunAt, now};
@@ -158,7 +159,7 @@
         {target, window->limited(), window->size(), window->meanAnswerTime(), flow.service});
 }
 
-// A segment may bring the acknowledgement of an answer, or end a flow: there may be room now.
+// A segment that acknowledges an answer or ends a flow may make room at the target.
 void DirectRouter::serveHeldAt(const Segment &segment, TimePoint now)
 {
     const auto known = m_flows.find(segment.flow);
--- a/src/core/direct/direct_router_probes.cpp
+++ b/src/core/direct/direct_router_probes.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Targets that leave flows without a sign, and what connections to them show.
+/// \brief Probes of targets that don't respond to flows.
 
 #include "core/direct/direct_router.h"
 
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Between two probes of a target that is silent.
+/// Time between two probes of a target whose last probe failed.
 constexpr Duration ReprobePeriod = 2s;
-/// A target that was heard within this time needs no probe.
+/// A target that responded within this time needs no probe.
 constexpr Duration HeardRecently = 500ms;
-/// Targets that are tried in one sweep: a domain may have a thousand, and what is waiting ahead
-/// keeps a small processor busy and a target that is back unused.
+/// Bound on the targets that one sweep probes. A domain may have a thousand; a long queue of probes
+/// keeps a small CPU busy, and delays the probe of a target that is back, which stays unused.
 constexpr std::size_t MaxProbesPerSweep = 32;
-/// Silent targets that are tried again in one second.
+/// Bound on the failed targets that are probed again per second.
 constexpr std::size_t MaxReprobes = 8;
 
 } // namespace
@@ -68,8 +68,8 @@
     m_probes.requestFirst(target.entry.id);
 }
 
-// Where several targets of a domain have gone, the others may have too: their callers need not find
-// out one by one.
+// Where several targets of a domain have failed, the others may have too. A sweep detects it before
+// callers do so one by one.
 void DirectRouter::sweep(const std::string &domain, TimePoint now)
 {
     std::size_t swept = 0;
