--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr Duration ExpirePeriod = 1s;
-/// Age up to which a view is ground for telling a caller that nobody serves an address: less than
-/// the three seconds after which a new route has to be in force. A view is usually confirmed
-/// each 1.5 s at a root, and its followers hear of that within a second.
+/// Maximum age of a view on which a flow to an unserved address is reset: less than the three
+/// seconds within which a new route has to take effect. A view is normally confirmed every 1.5 s at
+/// a root, and its followers learn of that within a second.
 constexpr Duration FreshFor = 2900ms;
-/// Between two looks at requests that are held: short beside the latency that any route promises.
+/// Interval of serveHeld(), short compared with the latency that any route promises.
 constexpr Duration ServeHeldPeriod = 10ms;
-/// One watch for evacuations. It may be long: a change ends it at once, probes notice within three
-/// seconds that its connection has gone silent, and the watches of the other collections that the
-/// store was away or has dropped its watches.
+/// Length of one watch for evacuations. It may be long: a change ends it at once, keep-alive probes
+/// detect a dead connection within three seconds, and the watches of the other collections detect
+/// that the store was away or has dropped its watches.
 constexpr Duration EvacuationsWatch = 30s;
 
 [[nodiscard]] StoreFeedSettings feedSettings(StoreFeedSettings settings,
@@ -165,7 +165,7 @@
 
 void DirectNode::finishHeld()
 {
-    // What goes on may make room for more.
+    // A request that is forwarded or dropped may make room for more.
     for (auto ends = m_router.takeHeldOutcomes(); !ends.empty();
          ends = m_router.takeHeldOutcomes()) {
         for (const HeldRequestOutcome &end : ends)
@@ -183,8 +183,8 @@
     }
 }
 
-// Most requests go on when an answer passes. This is for those that wait for nothing any more: the
-// target fell silent, or its answers come too late for them.
+// Most held requests are forwarded when an answer of their target is acknowledged. The timer serves
+// those that no answer will release, as the target fell silent or answers too late for them.
 void DirectNode::scheduleServeHeld()
 {
     if (std::exchange(m_serveHeldScheduled, true))
@@ -216,7 +216,7 @@
     notice(ProcessStalled{gap});
     for (Collection *collection : all()) {
         collection->copy.markUnconfirmed();
-        collection->copy.storeFailed(m_callbacks.feed.now()); // It may have been away meanwhile.
+        collection->copy.storeFailed(m_callbacks.feed.now()); // The store may have been away.
     }
     startFeeds();
 }
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -20,83 +20,85 @@
 
 namespace baobabtrail {
 
-/// \brief What is wrong with an object of the store, and where.
+/// \brief An error in an object of the store, and its place there.
 struct DirectoryFinding
 {
     std::string place;
     std::string text;
 };
 
-/// \brief Reads objects of the store; what they look like there is the platform adapter's matter.
+/// \brief Parsers for objects of the store, whose format only the platform adapter knows.
 struct DirectoryReader
 {
     std::function<std::variant<RouteTable, DirectoryFinding>(const StoredObject &)> routes;
     std::function<std::variant<RegisteredTarget, DirectoryFinding>(const StoredObject &)> target;
-    /// The target that a key of the targets' collection names, or nothing.
+    /// Id of the target that a key of the collection of targets names, or nothing.
     std::function<std::optional<TargetId>(const std::string &key)> targetId;
 };
 
-/// \brief A change of what a DirectNode knows, for the log and the counters.
+/// \brief New routes are in use.
 struct RoutesInForce
 {
     const RouteTable &routes;
     ObjectVersion version;
 };
+/// \brief An object of the store is invalid and is ignored.
 struct ObjectRefused
 {
     DirectoryFinding finding;
-    bool replaces = false; ///< It took the place of an entry that named a target to use.
+    bool replaces = false; ///< It replaces a valid registration of a target.
 };
-/// \brief The store was lost or is back.
+/// \brief The store has become unreachable, or is reachable again.
 struct StoreContact
 {
     std::string_view collection;
     bool lost = false;
-    std::string why;             ///< Empty where it is back.
-    std::optional<Duration> age; ///< Of the copy in force.
+    std::string why;             ///< Error text; empty where the store is back.
+    std::optional<Duration> age; ///< Of the current copy.
 };
-/// \brief What other daemons are good for has changed.
+/// \brief The state of the other daemons, as sources of copies, has changed.
 struct PeerContact
 {
     PeerState state = PeerState::Fresh;
-    Endpoint source;             ///< The one that answered last; null for none.
-    std::optional<Duration> age; ///< Of the view in force.
+    Endpoint source;             ///< The daemon that answered last; null for none.
+    std::optional<Duration> age; ///< Of the current view.
 };
-/// \brief A question to another daemon has ended.
+/// \brief A query to another daemon has ended.
 struct PeerQueryEnded
 {
     const QueryReport &end;
 };
-/// \brief The store has dropped the changes that a watch waited for; everything is listed anew.
+/// \brief The store has compacted the changes that a watch needs; the collection is listed again.
 struct HistoryLost
 {
     std::string_view collection;
-    ObjectVersion version; ///< Of the copy in force.
+    ObjectVersion version; ///< Of the current copy.
 };
-/// \brief A segment that waits for the directory was dropped for a newer one; its caller sends it
-/// again.
+/// \brief The queue of segments that wait for the directory is full: the oldest was dropped, and
+/// its caller retransmits it.
 struct WaitingQueueFull
 {
     std::size_t waiting = 0;
 };
-/// \brief The operator asks that a failure domain gets no new flows, or no longer asks so.
+/// \brief The operator has evacuated a failure domain, or ended its evacuation.
 struct DomainEvacuated
 {
     std::string domain;
     bool ended = false;
-    std::uint64_t openFlows = 0; ///< Of this daemon, at the domain's targets; they stay.
+    std::uint64_t openFlows = 0; ///< Of this daemon at the domain's targets; they stay.
     ObjectVersion version;
 };
-/// \brief The process stood still; the directory counts as out of date until it is read again.
+/// \brief The process stalled; the directory counts as out of date until it is confirmed again.
 struct ProcessStalled
 {
     Duration gap{0};
 };
+/// \brief An event at a DirectNode, for the log and the metrics.
 using NodeNotice = std::variant<RoutesInForce, ObjectRefused, StoreContact, PeerContact,
                                 HistoryLost, WaitingQueueFull, ProcessStalled, PeerQueryEnded,
                                 FollowerOverflow, DomainEvacuated>;
 
-/// \brief What a DirectNode needs of its surroundings.
+/// \brief Callbacks through which a DirectNode reaches its environment.
 struct DirectCallbacks
 {
     StoreFeedCallbacks feed;
@@ -104,13 +106,13 @@
     DirectoryReader reader;
     DirectObserver observer;
     std::function<void(const NodeNotice &)> onNotice; ///< May be empty.
-    /// Tries a connection to a target and tells the outcome once, later; empty where that can't be
-    /// done.
+    /// Probes a target by a connection and reports the outcome once, asynchronously; empty where
+    /// probes aren't available.
     std::function<void(const Endpoint &target, std::function<void(ProbeOutcome)>)> probe;
-    /// Carries out the verdict on a segment that had to wait.
+    /// Applies the verdict on a segment that had to wait.
     std::function<void(const Segment &, const std::string &payload, const SegmentVerdict &)>
         applyVerdict;
-    std::function<void()> ready; ///< Called once, when the directory is complete; may be empty.
+    std::function<void()> ready; ///< Called once the directory is complete; may be empty.
 };
 
 /// \brief Settings of a DirectNode.
@@ -122,74 +124,79 @@
     RelaySettings relay;
 };
 
-/// \brief All decisions of one daemon whose targets answer callers directly: the directory that it
-/// keeps from the store, and where each segment goes.
+/// \brief The logic of a daemon whose targets answer callers directly (direct server return): keeps
+/// the directory up to date from the store or from peers, and decides where each segment goes.
 ///
 /// \code
-/// DirectNode node{{address, "alx-raml"}, settings, ports, seed};
+/// DirectNode node{{address, "alx-raml"}, settings, callbacks, seed};
 /// node.start(roots);
-/// const SegmentVerdict verdict = node.handle(segment);
+/// const std::optional<SegmentVerdict> verdict = node.handle(segment, payload);
 /// \endcode
 class DirectNode
 {
 public:
-    /// \param identity Failure domain of this daemon, and where it answers others.
-    /// \param seed Seed of every random choice.
+    /// \param identity Failure domain of this daemon, and the address at which it answers others.
+    /// \param seed Seed of all random choices.
     DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks ports,
                std::uint64_t seed);
     ~DirectNode();
     DirectNode(const DirectNode &) = delete;
     DirectNode &operator=(const DirectNode &) = delete;
 
-    /// \param roots Daemons that watch the store; the others have their copies from these. With
-    /// none, or as one of them, this daemon watches the store itself.
+    /// \param roots Daemons that watch the store; the others get their copies from them. Where the
+    /// list is empty or names this daemon, this daemon watches the store itself.
     void start(const std::vector<Endpoint> &roots);
-    /// \brief Other daemons are the roots from now on.
+    /// \brief Replaces the list of roots. \see start
     void setRoots(const std::vector<Endpoint> &roots);
-    /// \param payload Handed to the port \a carry with the segment, should that have to wait.
-    /// \return What to do now; nothing where the segment waits for the directory or its target.
+    /// \brief Decides on a segment from a caller.
+    /// \param payload Passed to the callback \a applyVerdict where the segment has to wait.
+    /// \return The verdict; nothing where the segment waits for the directory or its target.
     [[nodiscard]] std::optional<SegmentVerdict> handle(const Segment &segment,
                                                        std::string_view payload);
-    /// \brief Answers another daemon. \param reply Called once, at once or later.
+    /// \brief Answers the query of another daemon.
+    /// \param reply Called once, immediately or later.
     void handle(const PeerQuery &question, ViewRelay::Reply reply);
 
-    /// \brief The process is about to end: what is held goes on, and nothing is held any more.
+    /// \brief Forwards all held requests and holds none from now on; to be called before the
+    /// process ends.
     void stopHolding();
 
-    /// \brief The process stood still for so long, by a clock that does not.
+    /// \brief The process stalled.
+    /// \param gap Length of the stall, by a clock that goes on meanwhile.
     void processStalled(Duration gap);
 
-    /// \return Whether a complete directory is in force, so that traffic can be taken.
+    /// \return Whether the directory is complete, so that traffic can be accepted.
     [[nodiscard]] bool ready() const noexcept;
-    /// \return Age of the older one of routes and targets; nothing before both are there.
+    /// \return Age of the older one of the copies of routes and targets; nothing before the store
+    /// has confirmed both.
     [[nodiscard]] std::optional<Duration> viewAge() const;
     [[nodiscard]] bool fresh() const;
-    /// \return Since the store came back from being away, as targets know it; nothing where it was
-    /// never seen to be.
+    /// \return Time since the end of the store's last outage, as the collection of targets has it;
+    /// nothing where no outage was seen.
     [[nodiscard]] std::optional<Duration> sinceStoreReturn() const;
-    /// \brief How one collection stands.
+    /// \brief Status of the copy of one collection.
     struct CollectionStatus
     {
         std::string_view name;
         ObjectVersion version;
         std::size_t objects = 0;
-        std::optional<Duration> age; ///< Since the store confirmed it.
-        bool storeConnected = false; ///< The store answers, and this daemon asks it.
+        std::optional<Duration> age; ///< Time since the store confirmed it.
+        bool storeConnected = false; ///< This daemon reads the store, and it answers.
     };
     [[nodiscard]] std::vector<CollectionStatus> collections() const;
     [[nodiscard]] bool isRoot() const noexcept { return m_isRoot; }
     [[nodiscard]] const std::vector<Endpoint> &roots() const noexcept { return m_roots; }
     [[nodiscard]] const DirectRouter &router() const noexcept { return m_router; }
-    /// \return Segments that wait for the directory.
+    /// \return Number of segments that wait for the directory.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
-    /// \return Bytes of requests that wait for their targets.
+    /// \return Payload bytes of held requests.
     [[nodiscard]] std::size_t heldBytes() const noexcept { return m_held.bytes(); }
     [[nodiscard]] const ViewRelay &relay() const noexcept { return m_relay; }
     [[nodiscard]] const PeerFeed &peers() const noexcept { return m_peers; }
     [[nodiscard]] ObjectVersion version() const noexcept;
 
 private:
-    /// \brief One collection: the copy, and how it is kept up to date from the store.
+    /// \brief A collection's copy and the feed that keeps it up to date from the store.
     struct Collection
     {
         using Apply = void (DirectNode::*)(const CollectionChange &);
@@ -202,7 +209,7 @@
         CollectionCopy copy;
         StoreFeed store;
         bool storeLost = false;
-        bool storeConnected = false; ///< The store answers, and this daemon asks it.
+        bool storeConnected = false; ///< This daemon reads the store, and it answers.
     };
 
     [[nodiscard]] std::optional<SegmentVerdict> route(const Segment &segment,
@@ -211,7 +218,7 @@
     void finishHeld(const HeldRequestOutcome &end);
     void startProbes();
     void scheduleServeHeld();
-    /// \brief Begins anew with the store, where this daemon is a root, and with its peers.
+    /// \brief Restarts the feeds: from the store where this daemon is a root, and from its peers.
     void startFeeds();
     static void stopStore(Collection &collection);
     [[nodiscard]] SharedCollection shared(Collection &collection);
@@ -220,7 +227,7 @@
     void applyEvacuations(const CollectionChange &change);
     void onStoreContact(Collection &collection, const StoreCallResult &end);
     void onPeerState(PeerState state);
-    /// \brief The peers have answered for the copies.
+    /// \brief The peers have answered a query. \param changed Whether a copy has changed.
     void onPeersAnswered(bool changed);
     void notifyFollowers();
     [[nodiscard]] ViewRelay::Callbacks relayPorts();
@@ -255,17 +262,18 @@
     DirectRouter m_router;
     WaitingSegments m_waiting;
     HeldSegments m_held;
-    bool m_serveHeldScheduled = false; ///< A look at what is held is due.
+    bool m_serveHeldScheduled = false; ///< Whether the timer for serveHeld() runs.
     ViewRelay m_relay;
     Collection m_routes;
     Collection m_targets;
     Collection m_evacuations;
     PeerFeed m_peers;
-    TimePoint m_notifiedConfirmedAt{}; ///< Confirmation that followers have been told of.
-    TimePoint
-        m_notifiedHeartbeatAt{}; ///< Pulse that they have been told of while the copies were stale.
+    TimePoint m_notifiedConfirmedAt{}; ///< Confirmation last reported to followers.
+    /// Origin heartbeat last reported to followers, which matters while the copies are stale.
+    TimePoint m_notifiedHeartbeatAt{};
     bool m_hadCopies = false;
-    /// What was last said of each object that can't be read: its writer goes on writing it.
+    /// Last error reported for each invalid object, by key; its writer may write it again and
+    /// again.
     std::map<std::string, std::string> m_refused;
     std::vector<Endpoint> m_roots;
     bool m_isRoot = true;
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief What a daemon learns of routes, targets and evacuations, from the store and from others,
-/// and what it tells others.
+/// \brief How a daemon gets routes, targets and evacuations from the store and from its peers, and
+/// passes them on to its followers.
 
 #include "core/direct/direct_node.h"
 
@@ -15,12 +15,13 @@
 
 namespace {
 
-/// When no daemon answers any more, all that are left ask the store within this time.
+/// Where no peer answers with a copy any more, the remaining daemons start to query the store at
+/// random times within this span.
 constexpr Duration LostJitter = 200ms;
-/// When the others answer that the store is away, each looks for itself within this time, in case
-/// that it is away for them alone.
+/// Where the peers answer that the store is unreachable, each daemon tries it itself at a random
+/// time within this span, as it may be unreachable for those peers only.
 constexpr Duration StaleJitter = 400ms;
-/// A confirmation that is younger by less than this is no news to followers.
+/// Confirmations are reported to followers in steps of at least this.
 constexpr Duration MinConfirmationStep = 200ms;
 
 } // namespace
@@ -61,7 +62,7 @@
     }
 }
 
-// The key says all: an entry that can't be read was still put there to empty the domain.
+// The key is enough: an entry with unreadable contents was still written to evacuate the domain.
 void DirectNode::applyEvacuations(const CollectionChange &change)
 {
     const auto set = [&](const std::string &key, bool evacuated) {
@@ -81,14 +82,14 @@
     if (end.historyGone)
         notice(HistoryLost{collection.name, collection.copy.version()});
     const bool lost = !end.failure.empty();
-    // The store may have dropped the long watch too, which would hear of that much later.
+    // The store may have dropped the long watch for evacuations too, which would notice much later.
     if (&collection != &m_evacuations && (end.historyGone || (!lost && collection.storeLost)))
         m_evacuations.store.refresh();
     collection.storeConnected = !lost;
     if (!lost && !end.historyGone) {
         notifyFollowers();
-        // A source that has no copy yet, or that the store refuses, and with it all that have their
-        // copies from there, takes this daemon's once it is told of them.
+        // A source that is empty, or that the store refuses, gets its copies from this daemon once
+        // it is notified of them, and so do all its followers.
         const bool first = hasCopies() && !std::exchange(m_hadCopies, hasCopies());
         const bool helps = storeConnected() && m_peers.state() == PeerState::Stale;
         if ((first || helps) && !m_roots.empty())
@@ -104,7 +105,8 @@
 {
     notice(PeerContact{state, m_peers.source(), viewAge()});
     if (m_isRoot) {
-        // Those that wait at each other, as each is refused by the store, would hear much later.
+        // Roots that the store refuses wait for each other's copies; without the notification they
+        // would learn of these much later.
         if (state == PeerState::Fresh)
             m_peers.notifyRoots();
         return;
@@ -113,7 +115,7 @@
         if (state == PeerState::Fresh || state == PeerState::Waiting)
             stopStore(*collection);
         else if (!collection->copy.complete())
-            collection->store.start(true); // Callers wait; nothing is there to go on with.
+            collection->store.start(true); // Empty: callers wait.
         else
             startStoreLater(*collection, state == PeerState::Lost ? LostJitter : StaleJitter);
     }
@@ -169,15 +171,15 @@
 {
     const PeerState state = m_peers.state();
     const bool lost = !storeConnected() && state == PeerState::Lost;
-    // One that has no copy yet is not alone as long as somebody on its way up looks after the
-    // store; a root does so itself.
+    // An empty daemon isn't cut off as long as a daemon upstream of it polls the store; a root does
+    // so itself.
     const bool alone = lost && (hasCopies() || !(m_isRoot || m_peers.originAlive()));
     Lineage lineage;
-    // A root that the store refuses may have its copy from another daemon.
+    // A root that the store refuses may get its copies from another daemon.
     if (!storeConnected() && (!m_isRoot || state == PeerState::Fresh) && !alone)
         lineage = m_peers.lineage();
-    // Also without the store a root looks after it, unless it hears nobody: then others had better
-    // look elsewhere.
+    // A root is an origin also while the store is unreachable, as it goes on trying. Where it
+    // reaches no other daemon either, followers should find another source.
     if ((m_isRoot || storeConnected()) && !alone) {
         lineage.origin = m_identity.address;
         lineage.heartbeat = static_cast<std::uint64_t>(m_callbacks.feed.now().time_since_epoch()
@@ -187,9 +189,9 @@
     return lineage;
 }
 
-// Followers that wait hear at once that the copies were confirmed, or that this daemon is linked:
-// their own copies are then hardly older than these. Two daemons that ask each other don't go on
-// for ever, since small steps are not told.
+// Answers waiting followers at once when the copies are confirmed or the origin heartbeat advances,
+// so that their copies are hardly older than these. The minimum steps keep two daemons that query
+// each other from answering each other endlessly.
 void DirectNode::notifyFollowers()
 {
     const auto age = viewAge();
@@ -204,8 +206,8 @@
     m_relay.onCopyChanged();
 }
 
-// At a chance time: hundreds of daemons lose the same peer at the same moment, and all of their
-// calls would reach the store at once.
+// The random delay prevents a thundering herd at the store: hundreds of daemons lose the same peer
+// at the same moment.
 void DirectNode::startStoreLater(Collection &collection, Duration most)
 {
     using Draw = boost::random::uniform_int_distribution<Duration::rep>;
@@ -219,8 +221,8 @@
     });
 }
 
-// An entry that can't be read names no target to use, also where its key named a good one before:
-// whoever wrote it may have meant that target to go. Its open flows stay where they are.
+// An unreadable entry also takes the target out of use that was registered under its key before, as
+// its writer may have meant to remove that target. Open flows stay.
 void DirectNode::refuseTarget(const std::string &key, DirectoryFinding finding)
 {
     const auto target = m_callbacks.reader.targetId(key);
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -33,8 +33,8 @@
 struct DropSegment
 {
 };
-/// \brief Keep the segment until the router says what becomes of its request. \see
-/// HeldRequestOutcome
+/// \brief Verdict: buffer the segment until its request is forwarded or dropped.
+/// \see HeldRequestOutcome
 struct HoldSegment
 {
 };
@@ -93,7 +93,7 @@
 /// \brief Kinds of latencies that the daemon measures on flows, by service.
 enum class FlowTime {
     Open,   ///< From the opening segment to the first one that shows the flow open.
-    Answer, ///< From the last byte of a request to the acknowledgement of its answer.
+    Answer, ///< From the last byte of a request until its caller acknowledges the answer.
     Held,   ///< From the first byte of a held request until it was forwarded.
 };
 
@@ -141,8 +141,8 @@
 
     /// \param routes Newer than the current ones.
     void setRoutes(RouteTablePtr routes);
-    /// \brief Sets whether the directory was confirmed recently. Only then is a flow to an unserved
-    /// address reset; its segments are dropped otherwise. \see AbortFlow
+    /// \brief Sets whether the directory was confirmed recently. Only then is a flow that can't be
+    /// placed reset; its segment is dropped otherwise. \see AbortFlow
     void setFresh(bool fresh) noexcept { m_fresh = fresh; }
     void putTarget(const RegisteredTarget &target, TimePoint now);
     /// \brief Sets the daemons that open flows at cold targets. \see ColdTargetLimiter::setOwners
@@ -209,7 +209,7 @@
         TimePoint openedAt{};         ///< First segment that this daemon saw.
         Duration waitedBefore{0};     ///< Time that the caller had waited before that one.
         TimePoint establishedAt{};    ///< First segment that showed the flow accepted.
-        TimePoint lastByteAt{};       ///< Last byte of the request in flight.
+        TimePoint lastByteAt{};       ///< When the newest byte was forwarded.
         TimePoint sentAt{};           ///< When the request in flight was forwarded.
         TimePoint seenAt{};
     };
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -159,8 +159,8 @@
 
     /// \brief Chooses the target of a new flow: the least loaded healthy one of the local failure
     /// domain, else one of another domain, else a suspect or lapsed one.
-    /// \param except The former target of the flow, which is not healthy any more; null id for
-    /// none. \return The target, or null where the service has none that takes flows.
+    /// \param except Target that the flow moves away from; null id for none.
+    /// \return The target, or null where the service has none that takes flows.
     [[nodiscard]] DirectTarget *choose(ServiceId service, TargetId except, TimePoint now,
                                        Random &random);
 
