--- a/src/core/direct/cold_target_limiter.cpp
+++ b/src/core/direct/cold_target_limiter.cpp
@@ -23,7 +23,7 @@
     m_isOwner = isOwner;
 }
 
-bool ColdTargetLimiter::admits(TargetId target, const ColdLimit &limit, TimePoint now) const
+bool ColdTargetLimiter::admits(TargetId target, const WarmUpLimit &limit, TimePoint now) const
 {
     if (!m_isOwner || m_owners == 0 || now - m_ownerSince < Span)
         return false;
--- a/src/core/direct/cold_target_limiter.h
+++ b/src/core/direct/cold_target_limiter.h
@@ -22,7 +22,7 @@
     /// \param isOwner Whether this daemon is one of them.
     void setOwners(std::size_t owners, bool isOwner, TimePoint now);
     /// \return Whether this daemon may open a flow at the cold target now.
-    [[nodiscard]] bool admits(TargetId target, const ColdLimit &limit, TimePoint now) const;
+    [[nodiscard]] bool admits(TargetId target, const WarmUpLimit &limit, TimePoint now) const;
     /// \brief Counts a flow that this daemon has opened at the cold target.
     void placed(TargetId target, TimePoint now);
     /// \brief Erases counts older than a second; to be called about once a second.
--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -51,7 +51,7 @@
     }
     std::erase_if(m_removedRoutes, [&](const auto &item) { return routes->find(item.first); });
     m_routes = std::move(routes);
-    m_targets.setColdLimits(m_routes->coldLimits);
+    m_targets.setColdLimits(m_routes->warmUpLimits);
 }
 
 void DirectRouter::putTarget(const RegisteredTarget &target, TimePoint now)
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -234,7 +234,7 @@
     void abandonHeld(const HeldRequest &request);
     void clearHeld(Flow &flow);
     void dropHeld(const FlowKey &key, Flow &flow);
-    [[nodiscard]] RequestPromise promiseOf(const FlowKey &flow) const noexcept;
+    [[nodiscard]] RequestPolicy promiseOf(const FlowKey &flow) const noexcept;
 
     void acknowledged(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
     void sent(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now);
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-RequestPromise DirectRouter::promiseOf(const FlowKey &flow) const noexcept
+RequestPolicy DirectRouter::promiseOf(const FlowKey &flow) const noexcept
 {
     const Route *route = m_routes->find(flow.service);
-    return route ? route->promise : RequestPromise{};
+    return route ? route->promise : RequestPolicy{};
 }
 
 bool DirectRouter::tryHold(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -180,7 +180,8 @@
     return target.probesFailed >= FailedProbesToConfirm;
 }
 
-const ColdLimit *DirectTargets::coldLimit(const DirectTarget &target, TimePoint now) const noexcept
+const WarmUpLimit *DirectTargets::coldLimit(const DirectTarget &target,
+                                            TimePoint now) const noexcept
 {
     if (now >= target.coldUntil)
         return nullptr;
@@ -199,7 +200,7 @@
 
 bool DirectTargets::admits(const DirectTarget &target, TimePoint now) const
 {
-    const ColdLimit *limit = coldLimit(target, now);
+    const WarmUpLimit *limit = coldLimit(target, now);
     return !limit || m_cold.admits(target.entry.id, *limit, now);
 }
 
--- a/src/core/direct/direct_targets.h
+++ b/src/core/direct/direct_targets.h
@@ -76,7 +76,7 @@
     bool refused = false;   ///< A newer registration than \a entry is unreadable.
     /// Counts the restarts under this id that were seen; a flow belongs to one incarnation.
     std::uint32_t incarnation = 0;
-    TimePoint coldUntil{}; ///< Opens at a limited rate until then. \see ColdLimit
+    TimePoint coldUntil{}; ///< Opens at a limited rate until then. \see WarmUpLimit
     std::optional<TimePoint> lapsedAt;
     std::optional<TimePoint> goneAt;
 
@@ -118,7 +118,10 @@
     /// measurements are reset.
     bool put(const RegisteredTarget &entry, TimePoint now);
     /// \brief Sets the rates of new flows that cold targets accept, by service.
-    void setColdLimits(std::map<ServiceId, ColdLimit> limits) { m_coldLimits = std::move(limits); }
+    void setColdLimits(std::map<ServiceId, WarmUpLimit> limits)
+    {
+        m_coldLimits = std::move(limits);
+    }
     /// \brief Sets the daemons that open flows at cold targets. \see ColdTargetLimiter::setOwners
     void setColdOwners(std::size_t owners, bool isOwner, TimePoint now)
     {
@@ -198,8 +201,8 @@
     }
     [[nodiscard]] bool takesFlows(const DirectTarget &target, TimePoint now) const noexcept;
     /// \return The rate limit that applies to the target now; null for none.
-    [[nodiscard]] const ColdLimit *coldLimit(const DirectTarget &target,
-                                             TimePoint now) const noexcept;
+    [[nodiscard]] const WarmUpLimit *coldLimit(const DirectTarget &target,
+                                               TimePoint now) const noexcept;
     /// \return Whether the target had the time to re-register after the outage, and has not.
     [[nodiscard]] bool stayedAway(const DirectTarget &target,
                                   const StoreStatus &store) const noexcept;
@@ -233,7 +236,7 @@
     DirectSettings m_settings;
     LabelTable m_labels;
     ColdTargetLimiter m_cold;
-    std::map<ServiceId, ColdLimit> m_coldLimits;
+    std::map<ServiceId, WarmUpLimit> m_coldLimits;
     std::map<std::string, TimePoint> m_evacuated; ///< By failure domain.
     std::unordered_map<TargetId, DirectTarget> m_targets;
     std::unordered_map<ServiceId, std::vector<TargetId>> m_services;
--- a/src/core/directory/directory.h
+++ b/src/core/directory/directory.h
@@ -34,16 +34,16 @@
 };
 
 /// \brief What an operator promises callers of a route.
-struct RequestPromise
+struct RequestPolicy
 {
     RequestKind kind = RequestKind::Unknown;
-    std::uint32_t priority = LeastUrgent; ///< 0 is the most urgent.
+    std::uint32_t priority = LowestPriority; ///< 0 is the most urgent.
     Duration latency{0}; ///< Within which an answer is worth all; 0 where none is named.
     Duration timeout{0}; ///< After which the caller no longer waits; 0 where none is named.
 
-    static constexpr std::uint32_t LeastUrgent = 1000;
+    static constexpr std::uint32_t LowestPriority = 1000;
 
-    friend bool operator==(const RequestPromise &, const RequestPromise &) = default;
+    friend bool operator==(const RequestPolicy &, const RequestPolicy &) = default;
 };
 
 /// \brief An address at which callers open flows, and the services behind it.
@@ -52,21 +52,21 @@
     std::string name;
     Endpoint address;
     std::vector<RouteShare> shares; ///< Never empty.
-    RequestPromise promise{};
+    RequestPolicy promise{};
 
     friend bool operator==(const Route &, const Route &) = default;
 };
 
 /// \brief What a service's targets bear for a while after their start; nothing is stated where the
 /// rate is 0.
-struct ColdLimit
+struct WarmUpLimit
 {
     Duration lasts{0};
     double perSecond = 0; ///< New flows, of all daemons together.
 
-    [[nodiscard]] bool isStated() const noexcept { return perSecond > 0; }
+    [[nodiscard]] bool isSet() const noexcept { return perSecond > 0; }
 
-    friend bool operator==(const ColdLimit &, const ColdLimit &) = default;
+    friend bool operator==(const WarmUpLimit &, const WarmUpLimit &) = default;
 };
 
 /// \brief All routes of one version of the operator's configuration; never changed once made.
@@ -75,7 +75,7 @@
     std::uint64_t version = 0; ///< As the operator counts; grows.
     std::map<Endpoint, Route> routes;
     std::map<ServiceId, std::string> serviceNames;
-    std::map<ServiceId, ColdLimit> coldLimits; ///< Of services that state one.
+    std::map<ServiceId, WarmUpLimit> warmUpLimits; ///< Of services that state one.
     Duration idleTimeout{0}; ///< A flow that was silent for longer may be forgotten; 0 for none.
 
     /// \return The route, or null.
--- a/src/core/overload/held_requests.h
+++ b/src/core/overload/held_requests.h
@@ -13,7 +13,7 @@
 struct HeldRequest
 {
     FlowKey flow;
-    RequestPromise promise;
+    RequestPolicy promise;
     TimePoint waitingSince; ///< When its caller began to wait, as far as this daemon can tell.
     TimePoint heldAt;
 };
--- a/tests/adapter/registry_test.cpp
+++ b/tests/adapter/registry_test.cpp
@@ -102,10 +102,10 @@
 {
     const auto result = readRoutes({"routes/main", Config, ObjectVersion{1}});
     const RouteTable &table = std::get<RouteTable>(result);
-    const RequestPromise &promise = table.find(*parseEndpoint("198.18.0.1:8443"))->promise;
+    const RequestPolicy &promise = table.find(*parseEndpoint("198.18.0.1:8443"))->promise;
     cr_assert(promise.kind == RequestKind::Idempotent && promise.priority == 2);
     cr_assert(promise.latency == 120ms && promise.timeout == 2s);
-    cr_assert(table.find(*parseEndpoint("198.18.0.2:80"))->promise == RequestPromise{});
+    cr_assert(table.find(*parseEndpoint("198.18.0.2:80"))->promise == RequestPolicy{});
 
     std::string download = Config;
     download.replace(download.find("idempotent"), 10, "download");
--- a/tests/direct/cold_test.cpp
+++ b/tests/direct/cold_test.cpp
@@ -19,7 +19,7 @@
 [[nodiscard]] RouteTablePtr boundedRoutes()
 {
     auto routes = std::make_shared<RouteTable>(*DirectFleet::routes(2));
-    routes->coldLimits[DirectFleet::service()] = {2s, PerSecond};
+    routes->warmUpLimits[DirectFleet::service()] = {2s, PerSecond};
     return routes;
 }
 
--- a/tests/overload/gate_test.cpp
+++ b/tests/overload/gate_test.cpp
@@ -12,7 +12,7 @@
 [[nodiscard]] HeldRequest request(std::uint16_t caller, Duration begunAfter,
                                   std::uint32_t priority = 2)
 {
-    RequestPromise promise;
+    RequestPolicy promise;
     promise.priority = priority;
     promise.latency = 200ms;
     promise.timeout = 1200ms;
--- a/tests/support/load_replay.h
+++ b/tests/support/load_replay.h
@@ -150,7 +150,7 @@
             const ServiceId service = serviceId("x", "x");
             table.serviceNames[service] = "x";
             for (const Endpoint &address : {Plain, Urgent}) {
-                RequestPromise promise;
+                RequestPolicy promise;
                 promise.priority = address == Urgent ? 1 : 2;
                 promise.latency = m_pattern.latency;
                 promise.timeout = m_pattern.timeout;
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -104,7 +104,7 @@
 
     std::uint32_t m_linesPerSecond;
     std::string m_text;
-    RequestPromise m_promise;
+    RequestPolicy m_promise;
     std::map<std::size_t, std::unique_ptr<daemon::DirectLog>> m_logs;
 
 public:
