--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -15,7 +15,7 @@
 RequestPolicy DirectRouter::promiseOf(const FlowKey &flow) const noexcept
 {
     const Route *route = m_routes->find(flow.service);
-    return route ? route->promise : RequestPolicy{};
+    return route ? route->policy : RequestPolicy{};
 }
 
 bool DirectRouter::tryHold(Flow &flow, DirectTarget &target, const Segment &segment, TimePoint now)
--- a/src/core/direct/direct_targets.cpp
+++ b/src/core/direct/direct_targets.cpp
@@ -195,7 +195,7 @@
 {
     const auto limit = m_coldLimits.find(target.entry.service);
     if (limit != m_coldLimits.end())
-        target.coldUntil = std::max(target.coldUntil, now + limit->second.lasts);
+        target.coldUntil = std::max(target.coldUntil, now + limit->second.duration);
 }
 
 bool DirectTargets::admits(const DirectTarget &target, TimePoint now) const
--- a/src/core/directory/directory.h
+++ b/src/core/directory/directory.h
@@ -52,7 +52,7 @@
     std::string name;
     Endpoint address;
     std::vector<RouteShare> shares; ///< Never empty.
-    RequestPolicy promise{};
+    RequestPolicy policy{};
 
     friend bool operator==(const Route &, const Route &) = default;
 };
@@ -61,10 +61,10 @@
 /// rate is 0.
 struct WarmUpLimit
 {
-    Duration lasts{0};
-    double perSecond = 0; ///< New flows, of all daemons together.
+    Duration duration{0};
+    double flowsPerSecond = 0; ///< New flows, of all daemons together.
 
-    [[nodiscard]] bool isSet() const noexcept { return perSecond > 0; }
+    [[nodiscard]] bool isSet() const noexcept { return flowsPerSecond > 0; }
 
     friend bool operator==(const WarmUpLimit &, const WarmUpLimit &) = default;
 };
--- a/tests/adapter/registry_test.cpp
+++ b/tests/adapter/registry_test.cpp
@@ -102,16 +102,16 @@
 {
     const auto result = readRoutes({"routes/main", Config, ObjectVersion{1}});
     const RouteTable &table = std::get<RouteTable>(result);
-    const RequestPolicy &promise = table.find(*parseEndpoint("198.18.0.1:8443"))->promise;
+    const RequestPolicy &promise = table.find(*parseEndpoint("198.18.0.1:8443"))->policy;
     cr_assert(promise.kind == RequestKind::Idempotent && promise.priority == 2);
     cr_assert(promise.latency == 120ms && promise.timeout == 2s);
-    cr_assert(table.find(*parseEndpoint("198.18.0.2:80"))->promise == RequestPolicy{});
+    cr_assert(table.find(*parseEndpoint("198.18.0.2:80"))->policy == RequestPolicy{});
 
     std::string download = Config;
     download.replace(download.find("idempotent"), 10, "download");
     const auto other = readRoutes({"routes/main", download, ObjectVersion{1}});
     const Route *route = std::get<RouteTable>(other).find(*parseEndpoint("198.18.0.1:8443"));
-    cr_assert(route->promise.kind == RequestKind::Download);
+    cr_assert(route->policy.kind == RequestKind::Download);
 
     cr_assert_eq(findingOf(Config, ":2000", ":\"2s\"").place, "routes/main: routes[0].timeout_ms");
     cr_assert_eq(findingOf(Config, ":120", ":-1").place,
--- a/tests/direct/router_held_test.cpp
+++ b/tests/direct/router_held_test.cpp
@@ -35,7 +35,7 @@
     [[nodiscard]] static RouteTablePtr routesWithPromise()
     {
         auto table = std::make_shared<RouteTable>(*DirectFleet::routes(2));
-        RequestPolicy &promise = table->routes[DirectFleet::ServiceAddress].promise;
+        RequestPolicy &promise = table->routes[DirectFleet::ServiceAddress].policy;
         promise.latency = 200ms;
         promise.timeout = 1s;
         return table;
--- a/tests/direct/router_test.cpp
+++ b/tests/direct/router_test.cpp
@@ -255,7 +255,7 @@
 {
     for (const Duration timeout : {6s, 12s}) {
         auto table = std::make_shared<RouteTable>(*DirectFleet::routes(2));
-        table->routes[DirectFleet::ServiceAddress].promise.timeout = timeout;
+        table->routes[DirectFleet::ServiceAddress].policy.timeout = timeout;
         DirectFleet fleet;
         fleet.router().setRoutes(table);
         fleet.add(1);
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -75,7 +75,7 @@
             auto result = read(object);
             if (auto *table = std::get_if<RouteTable>(&result)) {
                 for (auto &[address, route] : table->routes)
-                    route.promise = m_promise;
+                    route.policy = m_promise;
             }
             return result;
         };
