--- a/src/core/directory/patch_cache.cpp
+++ b/src/core/directory/patch_cache.cpp
@@ -10,17 +10,18 @@
 namespace {
 
 /// Followers of one daemon are behind by one change as a rule, by a few while changes come fast.
-constexpr std::size_t MostPatches = 8;
+constexpr std::size_t MaxPatches = 8;
 
 } // namespace
 
-void PatchCache::apply(const CollectionCopy &copy, ObjectVersion after, CollectionAnswer &answer)
+void PatchCache::replaceWithPatches(const CollectionCopy &copy, ObjectVersion after,
+                                    CollectionAnswer &answer)
 {
     if (after.isNull())
         return;
     std::vector<StoredObject> whole;
     for (StoredObject &object : answer.delta.change.written) {
-        if (auto patch = patchOf(copy, object, after))
+        if (auto patch = findOrMakePatch(copy, object, after))
             answer.patches.push_back(std::move(*patch));
         else
             whole.push_back(std::move(object));
@@ -28,8 +29,9 @@
     answer.delta.change.written = std::move(whole);
 }
 
-std::optional<ValuePatch> PatchCache::patchOf(const CollectionCopy &copy,
-                                              const StoredObject &object, ObjectVersion after)
+std::optional<ValuePatch> PatchCache::findOrMakePatch(const CollectionCopy &copy,
+                                                      const StoredObject &object,
+                                                      ObjectVersion after)
 {
     // One that is no newer comes in a complete answer: nobody is told which value it replaced.
     if (object.value.size() < MinPatchedBytes || object.version <= after)
@@ -50,7 +52,7 @@
     } catch (const std::runtime_error &) {
         return std::nullopt; // For want of memory: the whole value goes, and says the same.
     }
-    if (m_patches.size() > MostPatches)
+    if (m_patches.size() > MaxPatches)
         m_patches.pop_front();
     return m_patches.back();
 }
--- a/src/core/directory/patch_cache.h
+++ b/src/core/directory/patch_cache.h
@@ -16,11 +16,12 @@
 public:
     /// \brief Turns what \a answer brings of large objects into patches, where the asking daemon's
     /// copy of the version \a after has an older value of theirs that \a copy remembers.
-    void apply(const CollectionCopy &copy, ObjectVersion after, CollectionAnswer &answer);
+    void replaceWithPatches(const CollectionCopy &copy, ObjectVersion after,
+                            CollectionAnswer &answer);
 
 private:
     [[nodiscard]] std::optional<ValuePatch>
-    patchOf(const CollectionCopy &copy, const StoredObject &object, ObjectVersion after);
+    findOrMakePatch(const CollectionCopy &copy, const StoredObject &object, ObjectVersion after);
 
     std::deque<ValuePatch> m_patches; ///< The oldest first.
 };
--- a/src/core/directory/value_patch.cpp
+++ b/src/core/directory/value_patch.cpp
@@ -14,10 +14,10 @@
 /// The fastest; higher ones save little, since nearly all of the value is found in the base.
 constexpr int Level = 1;
 /// Largest value that a patch may make: eight times what the store holds in one object.
-constexpr std::uint64_t MostValueBytes = 8 << 20;
+constexpr std::uint64_t MaxValueBytes = 8 << 20;
 /// The window spans base and value together, or the codec would not find the one in the other.
-constexpr int LeastWindowLog = 16;
-constexpr int MostWindowLog = 25;
+constexpr int MinWindowLog = 16;
+constexpr int MaxWindowLog = 25;
 
 struct FreeContext
 {
@@ -35,7 +35,7 @@
 
 [[nodiscard]] int windowLog(std::size_t bytes) noexcept
 {
-    return std::clamp(static_cast<int>(std::bit_width(bytes)), LeastWindowLog, MostWindowLog);
+    return std::clamp(static_cast<int>(std::bit_width(bytes)), MinWindowLog, MaxWindowLog);
 }
 
 } // namespace
@@ -62,7 +62,7 @@
 std::optional<std::string> applyPatch(std::string_view base, std::string_view patch)
 {
     const std::uint64_t size = ZSTD_getFrameContentSize(patch.data(), patch.size());
-    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > MostValueBytes)
+    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > MaxValueBytes)
         return std::nullopt;
     const Decompressor context{ZSTD_createDCtx()};
     if (!context)
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -263,7 +263,7 @@
         out.delta = copy.since(each.after);
         out.sinceStoreReturn = sinceStoreReturn(copy);
         if (query.patches)
-            m_patches.apply(copy, each.after, out);
+            m_patches.replaceWithPatches(copy, each.after, out);
     }
     return answer;
 }
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -44,7 +44,7 @@
     routes.delta = copy.since(ObjectVersion{after});
     PatchCache cache;
     if (patches)
-        cache.apply(copy, ObjectVersion{after}, routes);
+        cache.replaceWithPatches(copy, ObjectVersion{after}, routes);
     return answer;
 }
 
