--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -202,7 +202,7 @@
 
 void DirectNode::handle(const PeerQuery &question, ViewRelay::Reply reply)
 {
-    m_relay.ask(question, std::move(reply));
+    m_relay.handle(question, std::move(reply));
 }
 
 void DirectNode::stopHolding()
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -36,7 +36,7 @@
         query.querier = querier;
         query.domain = "d1";
         PeerReply reply;
-        relay.ask(query, [&reply](const PeerReply &answer) { reply = answer; });
+        relay.handle(query, [&reply](const PeerReply &answer) { reply = answer; });
         cr_assert(reply.has_value());
         return *reply;
     }
@@ -96,7 +96,7 @@
         query.querier = querier;
         query.domain = "d0";
         query.wait = 1s;
-        relay.ask(query, [&replies](const PeerReply &answer) { replies.push_back(answer); });
+        relay.handle(query, [&replies](const PeerReply &answer) { replies.push_back(answer); });
     }
 };
 
@@ -169,6 +169,6 @@
     PeerQuery query;
     query.collections = {{"targets/", {}}, {"nothing/", {}}};
     bool answered = false;
-    root.relay.ask(query, [&](const PeerReply &reply) { answered = reply.has_value(); });
+    root.relay.handle(query, [&](const PeerReply &reply) { answered = reply.has_value(); });
     cr_assert(!answered);
 }
