--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -233,7 +233,7 @@
     if (!source || !reply) {
         end.why = std::move(result.why);
         reportQuery(std::move(end), QueryOutcome::Unanswered);
-        failed(address);
+        onFailure(address);
         return;
     }
     source->domain = reply->domain;
@@ -247,7 +247,7 @@
     if (!end.why.empty()) {
         reportQuery(std::move(end), QueryOutcome::Refused);
         m_staleSince = m_staleSince.value_or(m_callbacks.now()); // It answers, and knows no more.
-        failed(address);
+        onFailure(address);
         return;
     }
     // A look changes nothing of where the copies come from: followers would hear of another origin.
@@ -266,7 +266,7 @@
 {
     reportQuery(end, QueryOutcome::Empty);
     if (!isEmpty() || !originAlive()) {
-        failed(end.source);
+        onFailure(end.source);
         return;
     }
     m_source = end.source;
@@ -283,7 +283,7 @@
     if (answer.collections.size() != m_copies.queries().size()) {
         end.why = "it answers for one collection at a time, as an older release";
         reportQuery(std::move(end), QueryOutcome::Unanswered);
-        failed(address);
+        onFailure(address);
         return;
     }
     if (!m_copies.resolvePatches(answer)) {
@@ -301,7 +301,7 @@
     Source &source = *m_sources.find(address);
     source.hasSlot = answer.hasSlot;
     if (!taken.fresh) {
-        stale(source);
+        onStaleAnswer(source);
         return;
     }
     source.failedAt.reset();
@@ -330,7 +330,7 @@
 // While the source is linked, it hears of the store's return as soon as anybody; to leave it would
 // bring every daemon to the roots. One that is linked to nobody knows no more than those that have
 // their copies from there; only a root may.
-void PeerFeed::stale(Source &source)
+void PeerFeed::onStaleAnswer(Source &source)
 {
     m_staleSince = m_staleSince.value_or(m_callbacks.now());
     if (source.root) {
@@ -371,7 +371,7 @@
     sendQuery(m_source);
 }
 
-void PeerFeed::failed(const Endpoint &address)
+void PeerFeed::onFailure(const Endpoint &address)
 {
     if (Source *source = m_sources.find(address))
         source->failedAt = m_callbacks.now();
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -155,8 +155,8 @@
     void onAnswer(QueryReport end, QueryKind kind, PeerAnswer &answer);
     void reportQuery(QueryReport end, QueryOutcome outcome) const;
     void onRedirect(Source &from, const PeerAnswer &answer);
-    void failed(const Endpoint &source);
-    void stale(Source &source);
+    void onFailure(const Endpoint &source);
+    void onStaleAnswer(Source &source);
     /// \brief Goes on to another root, or waits at one where all are out of date.
     void onStaleRoot(Source &root);
     void setState(PeerState state);
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -113,7 +113,7 @@
     if (!page) {
         // The pages that came are kept: over a link that is full, one of many is late each time,
         // and a list that began anew never ended.
-        failed(result, m_pages.empty() ? m_backoff : m_pageBackoff, &StoreFeed::list);
+        onFailure(result, m_pages.empty() ? m_backoff : m_pageBackoff, &StoreFeed::list);
         return;
     }
     m_pageReceived = true;
@@ -144,7 +144,7 @@
     }
     const auto *news = std::get_if<ObjectList>(&result);
     if (!news) {
-        failed(result, m_pageBackoff, &StoreFeed::catchUp);
+        onFailure(result, m_pageBackoff, &StoreFeed::catchUp);
         return;
     }
     apply(*news, m_pages);
@@ -208,7 +208,7 @@
     }
     auto *list = std::get_if<ObjectList>(&result);
     if (!list) {
-        failed(result, m_backoff, &StoreFeed::watch);
+        onFailure(result, m_backoff, &StoreFeed::watch);
         return;
     }
     onSuccess();
@@ -227,7 +227,8 @@
         watch();
 }
 
-void StoreFeed::failed(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)())
+void StoreFeed::onFailure(const PlatformResult &result, Backoff &backoff,
+                          void (StoreFeed::*again)())
 {
     m_copy.storeFailed(m_callbacks.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -92,7 +92,7 @@
     void applyList(TimePoint asked);
     void watch();
     void onWatch(TimePoint asked, PlatformResult result);
-    void failed(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)());
+    void onFailure(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)());
     void onSuccess();
     void schedule(Duration wait, void (StoreFeed::*step)());
     void call(const PlatformRequest &request, void (StoreFeed::*done)(TimePoint, PlatformResult));
