--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -162,7 +162,7 @@
     ports.isRoot = [this](const Endpoint &daemon) {
         return std::find(m_roots.begin(), m_roots.end(), daemon) != m_roots.end();
     };
-    ports.fresher = [this](const Endpoint &fresher) { m_peers.suggest(fresher); };
+    ports.fresher = [this](const Endpoint &fresher) { m_peers.trySource(fresher); };
     ports.overflow = [this](const FollowerOverflow &turning) { notice(turning); };
     return ports;
 }
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -188,7 +188,7 @@
     }
 }
 
-void PeerFeed::suggest(const Endpoint &fresher)
+void PeerFeed::trySource(const Endpoint &fresher)
 {
     if (fresher == m_identity.address || fresher.isNull())
         return;
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -114,7 +114,7 @@
     /// \brief Tells the other roots how young this daemon's own copies have become.
     void notifyRoots();
     /// \brief Takes a daemon for a source whose copies are younger, and asks it at once.
-    void suggest(const Endpoint &fresher);
+    void trySource(const Endpoint &fresher);
 
     [[nodiscard]] PeerState state() const noexcept { return m_state; }
     /// \return The source that answered last; null for none.
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -175,9 +175,9 @@
 Test(peerFeed, oneThatOffersItsCopyIsAskedAtOnce)
 {
     AskedFeed root;
-    root.feed.suggest(Follower);
+    root.feed.trySource(Follower);
     cr_assert(root.asked.at(1).peer == Follower);
-    root.feed.suggest(Endpoint{0x0A010009, 9000});
+    root.feed.trySource(Endpoint{0x0A010009, 9000});
     cr_assert_eq(root.asked.size(), 2);
 }
 
