--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -82,7 +82,7 @@
     if (hasNewer(query) || query.wait <= Duration{0})
         reply(answer(query));
     else
-        hold(query, std::move(reply));
+        enqueue(query, std::move(reply));
 }
 
 bool ViewRelay::hasNewer(const PeerQuery &query) const
@@ -114,7 +114,7 @@
         return;
     }
     if (!redirectIfFull(query, true, reply))
-        hold(query, std::move(reply));
+        enqueue(query, std::move(reply));
 }
 
 bool ViewRelay::redirectIfFull(const PeerQuery &query, bool isEmpty, const Reply &reply)
@@ -154,7 +154,7 @@
         m_callbacks.overflow(ended);
 }
 
-void ViewRelay::hold(const PeerQuery &query, Reply reply)
+void ViewRelay::enqueue(const PeerQuery &query, Reply reply)
 {
     const std::uint64_t id = ++m_lastId;
     m_waiting.push_back({id, query, std::move(reply)});
--- a/src/core/directory/view_relay.h
+++ b/src/core/directory/view_relay.h
@@ -96,7 +96,7 @@
     /// \brief Sends the asking daemon on where it has no place here. \return Whether it did.
     [[nodiscard]] bool redirectIfFull(const PeerQuery &query, bool isEmpty, const Reply &reply);
     void countRedirect();
-    void hold(const PeerQuery &query, Reply reply);
+    void enqueue(const PeerQuery &query, Reply reply);
     [[nodiscard]] PeerReply answer(const PeerQuery &query);
     [[nodiscard]] bool admit(const PeerQuery &query);
     [[nodiscard]] std::optional<PeerReferral> rootIn(const std::string &domain) const;
