--- a/tests/directory/copy_test.cpp
+++ b/tests/directory/copy_test.cpp
@@ -37,7 +37,7 @@
 // A target came and went while this copy heard nothing, and then it took the whole state. A peer
 // whose copy is from in between still has the target: nobody may leave it there, to get flows for
 // ever.
-Test(copy, aPeerFromInBetweenLosesWhatCameAndWent)
+Test(copy, peerWithAnIntermediateVersionDropsShortLivedObjects)
 {
     CollectionCopy listed;
     (void)listed.applySnapshot({}, ObjectVersion{2}, false);
--- a/tests/directory/lapse_test.cpp
+++ b/tests/directory/lapse_test.cpp
@@ -23,7 +23,7 @@
             ports.observer.stateChanged = [this, index](const TargetStateChange &change) {
                 if (change.target.entry.id == TargetId{Lapsing}
                     && change.state == DirectTargetState::Gone)
-                    tookForGone.insert(index);
+                    reportedGone.insert(index);
             };
         })
     {
@@ -39,7 +39,7 @@
         cluster.store.erase(DirectCluster::targetKey(Lapsing));
     }
 
-    [[nodiscard]] std::size_t believing(DirectTargetState state)
+    [[nodiscard]] std::size_t countWith(DirectTargetState state)
     {
         std::size_t daemons = 0;
         for (std::size_t index = 0; index < cluster.size(); ++index) {
@@ -50,7 +50,7 @@
         return daemons;
     }
 
-    std::set<std::size_t> tookForGone; ///< Daemons.
+    std::set<std::size_t> reportedGone; ///< Daemons.
     DirectCluster cluster;
 };
 
@@ -58,7 +58,7 @@
 
 // Guards against open flows that are ended since a living target is taken for gone: the store was
 // back for a moment only, and nobody could register.
-Test(lapse, aMomentOfTheStoreEndsNoLapse)
+Test(lapse, briefStoreReturnDoesNotEndALapse)
 {
     for (const Duration away : {700ms, 1500ms, 3000ms, 6000ms}) {
         for (Duration phase = 0ms; phase < 1600ms; phase += 200ms) {
@@ -74,8 +74,8 @@
             cluster.time.run(2s);
             addTarget(cluster, Lapsing);
             cluster.time.run(3s);
-            cr_assert(all.tookForGone.empty(), "%zu daemons, %ld ms away, phase %ld",
-                      all.tookForGone.size(), away.count() / 1000, phase.count() / 1000);
+            cr_assert(all.reportedGone.empty(), "%zu daemons, %ld ms away, phase %ld",
+                      all.reportedGone.size(), away.count() / 1000, phase.count() / 1000);
             cr_assert_eq(placing(cluster, Lapsing), cluster.size());
         }
     }
@@ -83,22 +83,22 @@
 
 // Guards against the same at daemons that hear of the lapse by a whole copy: the store has dropped
 // its history.
-Test(lapse, aWholeCopySaysThatTheStoreWasAway)
+Test(lapse, completeCopyTellsOfTheStoreOutage)
 {
     LapseCluster all{6};
     all.lapse();
     all.cluster.store.compact();
     all.cluster.store.down = false;
     all.cluster.time.run(2s);
-    cr_assert_eq(all.believing(DirectTargetState::Lapsed), all.cluster.size());
+    cr_assert_eq(all.countWith(DirectTargetState::Lapsed), all.cluster.size());
     addTarget(all.cluster, Lapsing);
     all.cluster.time.run(3s);
-    cr_assert(all.tookForGone.empty());
+    cr_assert(all.reportedGone.empty());
     cr_assert_eq(placing(all.cluster, Lapsing), all.cluster.size());
 }
 
 // Guards against targets that count as lapsed for ever.
-Test(lapse, whatIsStillMissingIsGone)
+Test(lapse, registrationMissingAfterTheGraceIsGone)
 {
     for (Duration phase = 0ms; phase < 1600ms; phase += 200ms) {
         LapseCluster all{7};
@@ -106,6 +106,6 @@
         all.lapse();
         all.cluster.store.down = false;
         all.cluster.time.run(6s);
-        cr_assert_eq(all.believing(DirectTargetState::Gone), all.cluster.size());
+        cr_assert_eq(all.countWith(DirectTargetState::Gone), all.cluster.size());
     }
 }
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -11,7 +11,7 @@
 constexpr Endpoint Own{0x0A010005, 9000};
 
 /// \brief A feed whose questions are answered by the test.
-struct AskedFeed
+struct PeerFeedFixture
 {
     struct Asked
     {
@@ -33,7 +33,7 @@
     std::vector<Pause> pauses;
     PeerFeed feed;
 
-    AskedFeed()
+    PeerFeedFixture()
         : feed({}, {Own, "d0"}, callbacks(), random,
                {{"targets/", &copy, [](const CollectionChange &) {}}},
                {[](PeerState) {}, [](bool) {}})
@@ -118,10 +118,10 @@
 // drain, and must not take itself for up to date.
 Test(peerFeed, aSourceWithoutACopyBringsNoVersion)
 {
-    AskedFeed daemon;
+    PeerFeedFixture daemon;
     cr_assert(daemon.asked.at(0).query.lacksCopy());
     daemon.list(10);
-    daemon.asked.at(0).done(AskedFeed::emptyAnswer());
+    daemon.asked.at(0).done(PeerFeedFixture::emptyAnswer());
     cr_assert_eq(daemon.copy.version().value(), 10);
     daemon.run(1s);
     cr_assert_eq(daemon.asked.size(), 2);
@@ -131,21 +131,21 @@
 // Hundreds that start beside living daemons would each list the store, page after page.
 Test(peerFeed, aCopyOfAnySizeComesFromAPeer)
 {
-    AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::redirectAnswer(false));
+    PeerFeedFixture daemon;
+    daemon.asked.at(0).done(PeerFeedFixture::redirectAnswer(false));
     cr_assert(daemon.asked.at(1).peer == Follower);
     daemon.run(500ms);
     cr_assert(daemon.feed.state() != PeerState::Lost, "the store would be asked beside the peer");
-    daemon.asked.at(1).done(AskedFeed::whole(12, 4400));
+    daemon.asked.at(1).done(PeerFeedFixture::whole(12, 4400));
     cr_assert_eq(daemon.copy.size(), 4400);
     cr_assert(daemon.feed.state() == PeerState::Fresh);
 }
 
 // A peer that has the copies takes too long to send them: callers wait.
-Test(peerFeed, theStoreIsAskedTooWhereAPromisedCopyDoesNotCome)
+Test(peerFeed, storeIsQueriedWhenAnExpectedCopyDoesNotArrive)
 {
-    AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::redirectAnswer(false));
+    PeerFeedFixture daemon;
+    daemon.asked.at(0).done(PeerFeedFixture::redirectAnswer(false));
     daemon.run(200ms);
     cr_assert(daemon.feed.state() == PeerState::Fresh);
     daemon.run(900ms);
@@ -155,8 +155,8 @@
 // All daemons have started at once: nobody has a copy, and callers wait for the store.
 Test(peerFeed, theStoreIsAskedSoonWhereNobodyHasACopy)
 {
-    AskedFeed daemon;
-    daemon.asked.at(0).done(AskedFeed::redirectAnswer(true));
+    PeerFeedFixture daemon;
+    daemon.asked.at(0).done(PeerFeedFixture::redirectAnswer(true));
     cr_assert(daemon.feed.state() == PeerState::Lost);
     cr_assert_eq(daemon.asked.size(), 2, "it waits at its place all the same");
 }
@@ -164,7 +164,7 @@
 // Nobody answers: the machines of all roots are dark.
 Test(peerFeed, theStoreIsAskedAfterAShortWhileWhereNobodyAnswers)
 {
-    AskedFeed daemon;
+    PeerFeedFixture daemon;
     cr_assert(daemon.feed.state() == PeerState::Fresh);
     daemon.run(110ms);
     cr_assert(daemon.feed.state() == PeerState::Lost);
@@ -172,9 +172,9 @@
 
 // A root has lost its copy with its power, and the store is away. One that still has a copy asks
 // it; of several that do within a moment, the first is asked back.
-Test(peerFeed, oneThatOffersItsCopyIsAskedAtOnce)
+Test(peerFeed, peerWithAFresherCopyIsQueriedAtOnce)
 {
-    AskedFeed root;
+    PeerFeedFixture root;
     root.feed.trySource(Follower);
     cr_assert(root.asked.at(1).peer == Follower);
     root.feed.trySource(Endpoint{0x0A010009, 9000});
@@ -182,9 +182,9 @@
 }
 
 // A VM that has no power takes no connection, and costs less than one that is busy.
-Test(peerFeed, aDarkMachineCostsLessThanABusyOne)
+Test(peerFeed, unpoweredVmTimesOutSoonerThanABusyOne)
 {
-    AskedFeed daemon;
+    PeerFeedFixture daemon;
     const QueryTimeouts &limits = daemon.asked.at(0).limits;
     cr_assert_leq(limits.connect.count(), Duration{200ms}.count());
     cr_assert_gt(limits.firstByte.count(), Duration{1s}.count());
@@ -193,8 +193,8 @@
 // A release that knows one collection at a time answers for the first one only.
 Test(peerFeed, anAnswerForFewerCollectionsIsNoAnswer)
 {
-    AskedFeed daemon;
-    PeerAnswer answer = AskedFeed::whole(12, 1);
+    PeerFeedFixture daemon;
+    PeerAnswer answer = PeerFeedFixture::whole(12, 1);
     answer.collections.clear();
     daemon.asked.at(0).done(answer);
     cr_assert(!daemon.copy.complete());
--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -16,13 +16,13 @@
 /// All VMs start within this time, in any order.
 constexpr Duration StartSpread = 300ms;
 /// One question on a connection of its own, on a VM with 0.038 of a core.
-constexpr Duration Handling = 2ms;
+constexpr Duration QueryHandlingTime = 2ms;
 /// What control may cost a daemon's link, in bytes a second.
 constexpr std::uint64_t ControlBytes = 2000;
 /// Of each message on top of its body: heads of HTTP, TCP and IP, and half an acknowledgement.
-constexpr std::uint64_t HeadBytes = 142;
+constexpr std::uint64_t HeaderBytes = 142;
 /// From the loss of power of a VM to its next start.
-constexpr Duration DarkTime = 2s;
+constexpr Duration PowerOffTime = 2s;
 /// Within which a daemon that has started again serves.
 constexpr Duration ServesWithin = 1s;
 
@@ -38,7 +38,7 @@
         for (std::size_t index = 0; index < size; ++index)
             cluster.kill(index);
         cluster.store.pageObjects = PageObjects;
-        cluster.handling = Handling;
+        cluster.handling = QueryHandlingTime;
         for (std::uint64_t target = 1; target <= Targets; ++target)
             cluster.store.put(DirectCluster::targetKey(target), "x ready");
     }
@@ -69,7 +69,7 @@
             cluster.dark.insert(index);
             cluster.kill(index);
         }
-        cluster.time.run(DarkTime);
+        cluster.time.run(PowerOffTime);
         start(daemons);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// \return Calls to the store as it charges them: one that may be old is a tenth.
-    [[nodiscard]] double charged() const
+    [[nodiscard]] double chargedCalls() const
     {
         return static_cast<double>(cluster.store.calls())
                - 0.9 * static_cast<double>(cluster.store.cheapCalls());
@@ -108,7 +108,7 @@
     }
 
     /// \return Most connections that a daemon had at once.
-    [[nodiscard]] std::size_t mostConnections() const
+    [[nodiscard]] std::size_t maxConnections() const
     {
         std::size_t most = 0;
         for (std::size_t index = 0; index < cluster.size(); ++index)
@@ -127,9 +127,9 @@
     fleet.cluster.time.run(11s);
     const std::uint64_t calls = fleet.cluster.store.calls();
     // Three roots list 13 pages and watch two collections, 1.5 s each: 14 s make 102.
-    cr_expect_leq(fleet.mostConnections(), 4100 / 4, "a share of a VM's descriptors");
+    cr_expect_leq(fleet.maxConnections(), 4100 / 4, "a share of a VM's descriptors");
     cr_expect_leq(calls, 150, "%lu calls to the store, %lu questions, at most %zu connections",
-                  calls, fleet.cluster.asks, fleet.mostConnections());
+                  calls, fleet.cluster.asks, fleet.maxConnections());
 }
 
 } // namespace
@@ -161,7 +161,7 @@
     fleet.cluster.time.run(std::chrono::seconds{seconds});
     for (std::size_t index = 0; index < fleet.cluster.size(); ++index) {
         const auto [bytes, messages] = fleet.cluster.sentBy(index);
-        cr_expect_leq(bytes + messages * HeadBytes, seconds * ControlBytes, "daemon %zu", index);
+        cr_expect_leq(bytes + messages * HeaderBytes, seconds * ControlBytes, "daemon %zu", index);
     }
 }
 
@@ -174,7 +174,7 @@
     fleet.cluster.time.run(10s);
     for (const std::size_t index : fleet.daemons())
         fleet.cluster.kill(index);
-    const double before = fleet.charged();
+    const double before = fleet.chargedCalls();
     fleet.start(fleet.daemons());
     fleet.cluster.time.run(StartSpread + ServesWithin);
     cr_expect_eq(fleet.ready(), 300, "%zu daemons", fleet.ready());
@@ -182,11 +182,12 @@
     cr_expect_eq(fleet.fresh(), 300, "%zu daemons", fleet.fresh());
     // A first page of each collection, eleven cheap ones, and a watch that settles the list: 4.1 a
     // daemon. The roots' watches are the rest.
-    cr_expect_leq(fleet.charged() - before, 300 * 4.5, "%.0f calls", fleet.charged() - before);
+    cr_expect_leq(fleet.chargedCalls() - before, 300 * 4.5, "%.0f calls",
+                  fleet.chargedCalls() - before);
 }
 
 // Two of five daemons are replaced at once. The others have all that they need.
-Test(start, thoseThatStartBesideOthersAskNoStore)
+Test(start, daemonsStartedBesideOthersDoNotQueryTheStore)
 {
     Fleet fleet{300, 0s};
     fleet.start(fleet.daemons());
@@ -196,7 +197,7 @@
         if (index >= Roots)
             fleet.cluster.kill(index);
     }
-    const double before = fleet.charged();
+    const double before = fleet.chargedCalls();
     std::vector<std::size_t> followers = replaced;
     std::erase_if(followers, [](std::size_t index) { return index < Roots; });
     fleet.start(followers);
@@ -204,13 +205,13 @@
     cr_expect_eq(fleet.ready(), 300, "%zu daemons", fleet.ready());
     fleet.cluster.time.run(5s);
     // Three roots watch two collections, 1.5 s each: 25 in this time.
-    cr_expect_leq(fleet.charged() - before, 60, "%.0f calls", fleet.charged() - before);
+    cr_expect_leq(fleet.chargedCalls() - before, 60, "%.0f calls", fleet.chargedCalls() - before);
 }
 
 // Four fifths of the daemons, and all roots with them, lose power while the store is away. Nobody
 // tells those that come back who is left, and callers of every one of them would wait for the
 // store.
-Test(start, thoseThatComeBackInAnOutageFindTheOnesThatAreLeft)
+Test(start, daemonsRestartedInAnOutageFindTheSurvivors)
 {
     for (const Duration outage : {500ms, 5000ms}) {
         Fleet fleet{300, 0s};
@@ -234,7 +235,7 @@
 
 // One root dies, then all three: the others find sources, or the store, in the time in which a
 // change has to be in force.
-Test(start, theLossOfRootsIsMadeUpFor)
+Test(start, daemonsReplaceLostRoots)
 {
     for (const std::size_t lost : {std::size_t{1}, Roots}) {
         Fleet fleet{300, 0s};
--- a/tests/directory/store_feed_test.cpp
+++ b/tests/directory/store_feed_test.cpp
@@ -17,7 +17,7 @@
 }
 
 /// \brief A store with a list of three pages, and a feed that has not started.
-struct ListedStore
+struct StoreFeedFixture
 {
     VirtualTime time;
     FakeDirectoryStore store{time};
@@ -26,7 +26,7 @@
     std::vector<CollectionChange> changes;
     StoreFeed feed;
 
-    ListedStore()
+    StoreFeedFixture()
         : feed(
             "targets/", {}, callbacks(), random, copy,
             [this](const CollectionChange &change) { changes.push_back(change); },
@@ -58,45 +58,45 @@
 // Nothing of the list may be in force before a watch has brought what the pages lack.
 Test(storeFeed, pagesThatAreOldBringNoTargetBack)
 {
-    ListedStore rig;
-    rig.store.lag();
-    rig.store.put(keyOf(100), "draining");
-    rig.store.erase(keyOf(110));
-    rig.store.put(keyOf(Targets), "ready");
-    rig.feed.start();
-    rig.time.run(500ms);
-    cr_assert_eq(rig.changes.size(), 1);
-    cr_assert_eq(rig.copy.size(), Targets);
-    cr_assert_eq(rig.copy.find(keyOf(100))->value, "draining");
-    cr_assert_null(rig.copy.find(keyOf(110)));
-    cr_assert_not_null(rig.copy.find(keyOf(Targets)));
-    cr_assert_eq(rig.copy.version().value(), rig.store.revision());
-    cr_assert_eq(rig.store.cheapCalls(), 2);
+    StoreFeedFixture fixture;
+    fixture.store.lag();
+    fixture.store.put(keyOf(100), "draining");
+    fixture.store.erase(keyOf(110));
+    fixture.store.put(keyOf(Targets), "ready");
+    fixture.feed.start();
+    fixture.time.run(500ms);
+    cr_assert_eq(fixture.changes.size(), 1);
+    cr_assert_eq(fixture.copy.size(), Targets);
+    cr_assert_eq(fixture.copy.find(keyOf(100))->value, "draining");
+    cr_assert_null(fixture.copy.find(keyOf(110)));
+    cr_assert_not_null(fixture.copy.find(keyOf(Targets)));
+    cr_assert_eq(fixture.copy.version().value(), fixture.store.revision());
+    cr_assert_eq(fixture.store.cheapCalls(), 2);
 }
 
 // The store has forgotten what changed since the old pages were made: only a list that is not old
 // tells.
-Test(storeFeed, aListIsMadeAnewWhereItsPagesAreTooOld)
+Test(storeFeed, listIsRestartedWhenItsPagesAreTooOld)
 {
-    ListedStore rig;
-    rig.store.lag();
-    rig.store.put(keyOf(100), "draining");
-    rig.store.compact();
-    rig.feed.start();
-    rig.time.run(500ms);
-    cr_assert(rig.copy.complete());
-    cr_assert_eq(rig.copy.find(keyOf(100))->value, "draining");
-    cr_assert_eq(rig.copy.version().value(), rig.store.revision());
+    StoreFeedFixture fixture;
+    fixture.store.lag();
+    fixture.store.put(keyOf(100), "draining");
+    fixture.store.compact();
+    fixture.feed.start();
+    fixture.time.run(500ms);
+    cr_assert(fixture.copy.complete());
+    cr_assert_eq(fixture.copy.find(keyOf(100))->value, "draining");
+    cr_assert_eq(fixture.copy.version().value(), fixture.store.revision());
 }
 
 // Small collections come in one page, which is true as it is: no further call.
 Test(storeFeed, aListOfOnePageCostsOneCall)
 {
-    ListedStore rig;
-    rig.store.pageObjects = 500;
-    rig.feed.start();
-    rig.time.run(10ms);
-    cr_assert(rig.copy.complete());
-    cr_assert_eq(rig.store.cheapCalls(), 0);
-    cr_assert_eq(rig.store.calls(), 2, "a list, and the watch that waits");
+    StoreFeedFixture fixture;
+    fixture.store.pageObjects = 500;
+    fixture.feed.start();
+    fixture.time.run(10ms);
+    cr_assert(fixture.copy.complete());
+    cr_assert_eq(fixture.store.cheapCalls(), 0);
+    cr_assert_eq(fixture.store.calls(), 2, "a list, and the watch that waits");
 }
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -49,7 +49,7 @@
 }
 
 /// \brief A feed of the routes whose questions the test answers.
-struct AskedRoutes
+struct RoutesFeedFixture
 {
     struct Asked
     {
@@ -62,7 +62,7 @@
     std::vector<Asked> asked;
     PeerFeed feed;
 
-    explicit AskedRoutes(CollectionCopy held)
+    explicit RoutesFeedFixture(CollectionCopy held)
         : copy(std::move(held))
         , feed({}, {Own, "d0"}, callbacks(), random,
                {{"routes/", &copy, [](const CollectionChange &) {}}},
@@ -86,7 +86,7 @@
 
 } // namespace
 
-Test(valuePatch, goesWithTheChangeAndNotWithTheValue)
+Test(valuePatch, sizeFollowsTheChangeNotTheValue)
 {
     const std::string base = table(5000);
     const std::string value = base + "route 4 leads to refunds; ";
@@ -141,7 +141,7 @@
 Test(patchCache, onePatchThatDoesNotFitIsFollowedByTheWholeValue)
 {
     const CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
-    AskedRoutes daemon{copyOf({object(550, 15)})};
+    RoutesFeedFixture daemon{copyOf({object(550, 15)})};
     cr_assert(daemon.asked.at(0).query.patches);
     daemon.asked.at(0).done({answerOf(source, 15, true)});
     cr_assert_eq(daemon.copy.version().value(), 15);
@@ -161,7 +161,7 @@
     (void)source.applySnapshot({object(600, 20)}, ObjectVersion{200}, false);
     CollectionCopy held = copyOf({object(500, 10), object(600, 20)});
     (void)held.applyChanges({{}, {}, ObjectVersion{150}});
-    AskedRoutes daemon{std::move(held)};
+    RoutesFeedFixture daemon{std::move(held)};
     const PeerAnswer answer = answerOf(source, 150, true);
     cr_assert(answer.collections.at(0).delta.complete);
     daemon.asked.at(0).done({answer});
@@ -174,7 +174,7 @@
 Test(patchCache, aPatchOfAVersionThatIsKnownTakesNothingAway)
 {
     const CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
-    AskedRoutes daemon{copyOf({object(600, 20)})};
+    RoutesFeedFixture daemon{copyOf({object(600, 20)})};
     PeerAnswer answer = answerOf(source, 10, true);
     answer.collections.at(0).delta.complete = true;
     cr_assert_eq(answer.collections.at(0).patches.size(), 1);
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -47,7 +47,7 @@
 // A daemon of d1 asks the root of d0, which knows the root of d1 and sends it there. The way to
 // that one is cut: the daemon comes back and has to be taken, or it would have nobody but the
 // store.
-Test(viewRelay, takesOneThatCannotReachTheRootOfItsDomain)
+Test(viewRelay, acceptsADaemonThatCannotReachItsLocalRoot)
 {
     RootOfD0 root;
     cr_assert(root.ask(NearRoot).redirect.empty());
@@ -59,7 +59,7 @@
 }
 
 // The root of d1 has not been heard of for a while: it may be gone, and nobody is sent there.
-Test(viewRelay, sendsNobodyToARootThatIsSilent)
+Test(viewRelay, doesNotRedirectToASilentRoot)
 {
     RootOfD0 root;
     cr_assert(root.ask(NearRoot).redirect.empty());
@@ -71,23 +71,23 @@
 namespace {
 
 /// \brief A daemon that has just started and has no copy.
-struct BlankDaemon
+struct EmptyDaemon
 {
     TimePoint now{1h};
     CollectionCopy copy;
-    std::vector<Endpoint> offered;
+    std::vector<Endpoint> fresherPeers;
     std::vector<std::function<void()>> timers;
-    std::vector<FollowerOverflow> turnings;
+    std::vector<FollowerOverflow> overflows;
     ViewRelay relay{
         "d0",
         {},
         {[this] { return now; },
          [this](Duration, std::function<void()> call) { timers.push_back(std::move(call)); },
          [] { return Lineage{}; }, [](const Endpoint &) { return false; },
-         [this](const Endpoint &querier) { offered.push_back(querier); },
-         [this](const FollowerOverflow &turning) { turnings.push_back(turning); }}};
+         [this](const Endpoint &querier) { fresherPeers.push_back(querier); },
+         [this](const FollowerOverflow &overflow) { overflows.push_back(overflow); }}};
 
-    BlankDaemon() { relay.add("targets/", copy); }
+    EmptyDaemon() { relay.add("targets/", copy); }
 
     void ask(const Endpoint &querier, std::uint64_t after, std::vector<PeerReply> &replies)
     {
@@ -109,9 +109,9 @@
 
 // Hundreds start at once and nobody has a copy. Those that find a place wait for it, and the others
 // are sent on to them at once; sent away, all would come again and again.
-Test(viewRelay, placesAreTakenBeforeThereIsACopy)
+Test(viewRelay, followerSlotsAreTakenBeforeThereIsACopy)
 {
-    BlankDaemon root;
+    EmptyDaemon root;
     std::vector<PeerReply> replies;
     for (std::uint32_t index = 0; index < 4; ++index)
         root.ask(daemonAt(index), 0, replies);
@@ -127,9 +127,9 @@
     cr_assert(replies.back()->collections.at(0).delta.complete);
 }
 
-Test(viewRelay, oneThatWaitsInVainHearsThatThereIsNoCopyYet)
+Test(viewRelay, waitingQueryTimesOutWithAnEmptyAnswer)
 {
-    BlankDaemon root;
+    EmptyDaemon root;
     std::vector<PeerReply> replies;
     root.ask(daemonAt(1), 0, replies);
     root.timers.at(0)();
@@ -138,28 +138,28 @@
 }
 
 // The daemon lost its copy with its power while the store is away; one that kept its own asks.
-Test(viewRelay, aDaemonThatStillHasACopyIsNoticed)
+Test(viewRelay, querierWithACopyIsReportedAsFresher)
 {
-    BlankDaemon root;
+    EmptyDaemon root;
     std::vector<PeerReply> replies;
     root.ask(daemonAt(1), 7, replies);
-    cr_assert(root.offered == std::vector<Endpoint>{daemonAt(1)});
+    cr_assert(root.fresherPeers == std::vector<Endpoint>{daemonAt(1)});
     cr_assert(!replies.at(0).has_value());
 }
 
 // Hundreds are sent on: one line when that begins and one when it ends.
-Test(viewRelay, saysOnceThatItTurnsOthersAway)
+Test(viewRelay, reportsTheStartAndTheEndOfAnOverflow)
 {
-    BlankDaemon root;
+    EmptyDaemon root;
     std::vector<PeerReply> replies;
     for (std::uint32_t index = 0; index < 100; ++index)
         root.ask(daemonAt(index), 0, replies);
     root.now += 6s;
     root.relay.expire();
     root.relay.expire();
-    cr_assert_eq(root.turnings.size(), 2);
-    cr_assert(!root.turnings.at(0).ended && root.turnings.at(1).ended);
-    cr_assert_eq(root.turnings.at(1).count, 96);
+    cr_assert_eq(root.overflows.size(), 2);
+    cr_assert(!root.overflows.at(0).ended && root.overflows.at(1).ended);
+    cr_assert_eq(root.overflows.at(1).count, 96);
     cr_assert_eq(root.relay.redirected(), 96);
 }
 
