--- a/tests/large-change/large_change_test.cpp
+++ b/tests/large-change/large_change_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// 10 Mbit/s, the smallest link of the deployments.
-constexpr std::uint64_t SmallestLink = 1'250'000;
+constexpr std::uint64_t MinLinkBytesPerSecond = 1'250'000;
 /// The shortest time in which a change has to be in force on a system of this size.
 constexpr Duration InForceWithin = 5s;
 /// After which callers have to be served again.
@@ -33,7 +33,7 @@
            + R"(,"born":17)" + std::to_string(random()) + "}";
 }
 
-[[nodiscard]] std::size_t daemonsAt(DirectCluster &cluster, std::uint64_t version)
+[[nodiscard]] std::size_t daemonsWithVersion(DirectCluster &cluster, std::uint64_t version)
 {
     std::size_t count = 0;
     for (std::size_t index = 0; index < cluster.size(); ++index)
@@ -42,20 +42,20 @@
 }
 
 /// \brief Targets register all the while, one each 250 ms, as when they are replaced.
-void release(DirectCluster &cluster, std::uint64_t target)
+void registerTargetsFrom(DirectCluster &cluster, std::uint64_t target)
 {
     cluster.store.put(DirectCluster::targetKey(target), "x ready");
-    cluster.time.after(250ms, [&cluster, target] { release(cluster, target + 1); });
+    cluster.time.after(250ms, [&cluster, target] { registerTargetsFrom(cluster, target + 1); });
 }
 
 /// \brief Daemons with the smallest links that hold a configuration of so many routes.
-void settle(DirectCluster &cluster, std::size_t routes)
+void startWithRoutes(DirectCluster &cluster, std::size_t routes)
 {
     cluster.store.put("routes/main", configurationText(9, routes));
     cluster.time.run(20s);
-    cr_assert_eq(daemonsAt(cluster, 9), Daemons);
-    cluster.linkBytesPerSecond = SmallestLink;
-    release(cluster, 1);
+    cr_assert_eq(daemonsWithVersion(cluster, 9), Daemons);
+    cluster.linkBytesPerSecond = MinLinkBytesPerSecond;
+    registerTargetsFrom(cluster, 1);
     cluster.time.run(5s);
 }
 
@@ -72,16 +72,16 @@
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         DirectCluster cluster{Daemons, Roots, seed};
-        settle(cluster, 1645);
+        startWithRoutes(cluster, 1645);
         cluster.store.put("routes/main", configurationText(11, 3045));
         cluster.time.run(2240ms);
         cluster.store.put("routes/main", configurationText(14, 3046));
         cluster.time.run(InForceWithin - 2240ms);
-        cr_assert_eq(daemonsAt(cluster, 11), Daemons, "%zu of %zu, seed %lu",
-                     daemonsAt(cluster, 11), Daemons, seed);
+        cr_assert_eq(daemonsWithVersion(cluster, 11), Daemons, "%zu of %zu, seed %lu",
+                     daemonsWithVersion(cluster, 11), Daemons, seed);
         cluster.time.run(2240ms);
-        cr_assert_eq(daemonsAt(cluster, 14), Daemons, "%zu of %zu, seed %lu",
-                     daemonsAt(cluster, 14), Daemons, seed);
+        cr_assert_eq(daemonsWithVersion(cluster, 14), Daemons, "%zu of %zu, seed %lu",
+                     daemonsWithVersion(cluster, 14), Daemons, seed);
     }
 }
 
@@ -91,10 +91,11 @@
 {
     constexpr std::size_t routes = 5000;
     DirectCluster cluster{Daemons, Roots, 4};
-    settle(cluster, routes);
+    startWithRoutes(cluster, routes);
     cluster.store.put("routes/main", configurationText(11, routes + 1));
     cluster.time.run(InForceWithin);
-    cr_assert_eq(daemonsAt(cluster, 11), Daemons, "%zu of %zu", daemonsAt(cluster, 11), Daemons);
+    cr_assert_eq(daemonsWithVersion(cluster, 11), Daemons, "%zu of %zu",
+                 daemonsWithVersion(cluster, 11), Daemons);
 }
 
 // The store is away, and all daemons but the roots are killed and start anew: 57 that have nothing
@@ -107,7 +108,7 @@
     for (std::uint64_t target = 1; target <= 4400; ++target)
         cluster.store.put(DirectCluster::targetKey(target), registration(target));
     cluster.time.run(20s);
-    cluster.linkBytesPerSecond = SmallestLink;
+    cluster.linkBytesPerSecond = MinLinkBytesPerSecond;
     cluster.sendsAsWritten = true;
     cluster.store.down = true;
     for (std::size_t index = Roots; index < Daemons; ++index) {
@@ -134,12 +135,12 @@
     constexpr std::uint64_t last = 70;
     constexpr Duration InForceOfDesign = 10s;
     DirectCluster cluster{Daemons, Roots, 8};
-    settle(cluster, 2000);
+    startWithRoutes(cluster, 2000);
     for (std::uint64_t version = first; version <= last; ++version) {
         cluster.store.put("routes/main", configurationText(version, 2000));
         cluster.time.run(80ms);
     }
     cluster.time.run(InForceOfDesign);
-    cr_assert_eq(daemonsAt(cluster, last), Daemons, "%zu of %zu", daemonsAt(cluster, last),
-                 Daemons);
+    cr_assert_eq(daemonsWithVersion(cluster, last), Daemons, "%zu of %zu",
+                 daemonsWithVersion(cluster, last), Daemons);
 }
