--- a/tests/lapse-known/random_test.cpp
+++ b/tests/lapse-known/random_test.cpp
@@ -23,7 +23,7 @@
         addTarget(cluster, Living);
     }
 
-    void storeGoes()
+    void loseStore()
     {
         m_cluster.store.goDown();
         const auto outage = ++m_outage;
@@ -33,7 +33,7 @@
         });
     }
 
-    void storeReturns()
+    void restoreStore()
     {
         m_cluster.store.down = false;
         const auto outage = ++m_outage;
@@ -63,11 +63,11 @@
 {
     constexpr std::uint64_t seeds = 200;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        std::size_t tookForGone = 0; // Daemons, however often.
+        std::size_t reportedGone = 0; // Daemons, however often.
         DirectCluster cluster{9, 3, seed, [&](std::size_t, DirectCallbacks &ports) {
                                   ports.observer.stateChanged
                                       = [&](const TargetStateChange &change) {
-                                            tookForGone += change.state == DirectTargetState::Gone;
+                                            reportedGone += change.state == DirectTargetState::Gone;
                                         };
                               }};
         Random random{seed};
@@ -90,9 +90,9 @@
             case 3:
             case 4:
                 if (cluster.store.down)
-                    target.storeReturns();
+                    target.restoreStore();
                 else
-                    target.storeGoes();
+                    target.loseStore();
                 break;
             case 5:
                 cluster.store.compact();
@@ -110,6 +110,6 @@
             }
             cluster.time.run(std::chrono::milliseconds{draw(1500)});
         }
-        cr_assert_eq(tookForGone, 0U, "seed %lu: %zu times", seed, tookForGone);
+        cr_assert_eq(reportedGone, 0U, "seed %lu: %zu times", seed, reportedGone);
     }
 }
