--- a/src/core/targets/impl/concurrency_limit.cpp
+++ b/src/core/targets/impl/concurrency_limit.cpp
@@ -33,8 +33,8 @@
     m_baseline += (m_baseline == 0 ? 1 : BaselineGain) * (sample - m_baseline);
     if (running < maxAttempts())
         return;
-    // Raising while answers slow down would only move the queue from the owner into the target,
-    // where it can no longer be reordered or refused.
+    // Raising the limit while answers slow down would only move the queue from the owner into the
+    // target, where requests can be neither reordered nor refused.
     if (m_recent > ToleratedGrowth * m_baseline)
         return;
     m_fullUseSuccesses += 1;
@@ -47,8 +47,8 @@
 void ConcurrencyLimit::shed(TimePoint now) noexcept
 {
     m_fullUseSuccesses = 0;
-    // One overload sheds several attempts together; taking each for news would drop the limit to
-    // one at a single burst.
+    // One overload sheds several attempts at once. Counted one by one, a single burst would lower
+    // the limit to one.
     if (m_lastShed != TimePoint::min() && now - m_lastShed < ShedBurst)
         return;
     m_lastShed = now;
--- a/src/core/targets/impl/concurrency_limit.h
+++ b/src/core/targets/impl/concurrency_limit.h
@@ -6,34 +6,36 @@
 
 namespace baobabtrail::impl {
 
-/// \brief How many attempts a target sustains at once, learnt from how attempts end.
+/// \brief Adaptive limit of concurrent attempts at a target, derived from their outcomes.
 ///
-/// Starts at the configured slots. A shed lowers it; a full round of successes at full use, without
-/// growth of the service time, raises it again, a quarter above the configured slots at most.
+/// Starts at the configured slots. A shed attempt lowers it. Enough successes at full use, while
+/// the service time doesn't grow, raise it again, to at most a quarter above the configured slots.
 class ConcurrencyLimit
 {
 public:
     explicit ConcurrencyLimit(std::uint32_t slots = 1) noexcept { setSlots(slots); }
 
-    /// \brief Takes the configured slots; what was learnt is kept as a share of them.
+    /// \brief Sets the configured slots and scales the limit in proportion.
     void setSlots(std::uint32_t slots) noexcept;
 
-    /// \param running Attempts that ran, this one included. \param runTime From dispatch to end.
+    /// \param running Attempts that ran at its end, including this one.
+    /// \param runTime Time from the dispatch to the end.
     void succeeded(std::uint32_t running, Duration runTime) noexcept;
     void shed(TimePoint now) noexcept;
 
     [[nodiscard]] double value() const noexcept { return m_limit; }
-    /// \return Whole attempts that may run at once, at least one.
+    /// \param share Share of the limit that may be used, from 0 to 1.
+    /// \return Number of attempts that may run at once; at least one.
     [[nodiscard]] std::uint32_t maxAttempts(double share = 1.0) const noexcept;
-    /// \return Mean service time, or zero where none was seen.
+    /// \return Average service time; 0 before the first success.
     [[nodiscard]] Duration serviceTime() const noexcept;
 
 private:
     double m_slots = 1;
     double m_limit = 1;
-    double m_recent = 0;           ///< Service time in microseconds, over the last few attempts.
+    double m_recent = 0;           ///< Service time in microseconds, averaged over few attempts.
     double m_baseline = 0;         ///< The same over many attempts.
-    double m_fullUseSuccesses = 0; ///< Successes at full use since the limit moved last.
+    double m_fullUseSuccesses = 0; ///< Successes at full use since the limit last changed.
     TimePoint m_lastShed = TimePoint::min();
 };
 
--- a/src/core/targets/impl/configure.cpp
+++ b/src/core/targets/impl/configure.cpp
@@ -16,7 +16,7 @@
 
 void TargetTable::Impl::configure(ConfigPtr newConfig, ViewPtr newView, TimePoint now)
 {
-    // What stands in the first configuration was running before this daemon came.
+    // Targets of the first configuration were running before this daemon started.
     const auto addedAt = records.empty() ? std::nullopt : std::optional{now};
     config = std::move(newConfig);
     view = std::move(newView);
@@ -80,7 +80,7 @@
 TargetTable::Impl::reuseOrCreate(std::unique_ptr<Record> old, const TargetConfig &target,
                                  ServiceId service, std::optional<TimePoint> addedAt) const
 {
-    // Under an old name a new generation is another machine: nothing learnt of the old one holds.
+    // A new generation under the same name is another machine: no state of the old one applies.
     if (!old || !sameMachine(old->config, target)) {
         old = std::make_unique<Record>();
         old->addedAt = addedAt;
@@ -94,7 +94,8 @@
     old->owner = ownerOf(target);
     const bool own = old->local && old->owner && old->owner->id == view->self;
     if (own != old->own) {
-        // Evidence of an earlier time as owner is out of date, and the link has to be made anew.
+        // Health state from an earlier ownership is out of date, and the link has to be opened
+        // again.
         old->healthTracker = impl::HealthTracker{};
         old->waiting = 0;
         old->offers = 0;
--- a/src/core/targets/impl/connection_count.cpp
+++ b/src/core/targets/impl/connection_count.cpp
@@ -37,9 +37,9 @@
 void ConnectionCount::reported(std::uint32_t connections, double average, TimePoint now) noexcept
 {
     decayRecent(now);
-    // A target that always reports none would draw every open that names it as a candidate, one
-    // that always reports many would get none for ever. Out of these bounds a report says nothing,
-    // and the target is taken for a usual one: it gets its even share.
+    // A target that always reports no flows would attract every open that has it as a candidate,
+    // and one that always reports many would never get any. A report outside these bounds is
+    // ignored, and the target counts as an average one, so that it gets an even share.
     const bool tooFew = m_recent >= MinFlowsToCompare && connections < MinShareOfRecent * m_recent;
     const bool tooMany = average >= MinFlowsToCompare && connections > MaxOverAverage * average;
     m_plausible = !tooFew && !tooMany;
--- a/src/core/targets/impl/connection_count.h
+++ b/src/core/targets/impl/connection_count.h
@@ -7,16 +7,18 @@
 
 namespace baobabtrail::impl {
 
-/// \brief Flows that a target holds: counted at the owner, corrected by the target's reports.
+/// \brief Number of open flows of a target: counted by the owner, corrected by the target's
+/// reports.
 ///
-/// The owner sees every flow that it places but not every end; the target sees both but may say so
-/// late or wrongly. So the count follows the report slowly, and a report that denies nearly all
-/// flows which the owner just placed, or claims several times the usual number, is not believed.
+/// The owner sees every flow that it places but not every end. The target sees both, but its
+/// reports may be late or wrong. So the count follows the reports slowly, and a report is ignored
+/// as implausible if it lacks nearly all flows that the owner just placed, or is several times the
+/// average.
 class ConnectionCount
 {
 public:
     void accepted(TimePoint now) noexcept;
-    /// \param average Flows of a usual target, which a target that isn't believed is taken to hold.
+    /// \param average Average flows of a target, assumed where the report is implausible.
     void reported(std::uint32_t connections, double average, TimePoint now) noexcept;
 
     [[nodiscard]] double value() const noexcept { return m_count; }
@@ -26,7 +28,7 @@
     void decayRecent(TimePoint now) noexcept;
 
     double m_count = 0;
-    double m_recent = 0; ///< Flows placed lately, fading over a minute.
+    double m_recent = 0; ///< Flows placed recently; decays over a minute.
     TimePoint m_recentAt{};
     std::optional<TimePoint> m_reportAt;
     bool m_plausible = true;
--- a/src/core/targets/impl/health_tracker.cpp
+++ b/src/core/targets/impl/health_tracker.cpp
@@ -86,8 +86,8 @@
 
 void HealthTracker::heard(TimePoint) noexcept
 {
-    // Flows that go on say that the machine lives, not that it takes new work: this clears no
-    // count of attempts and readmits nothing.
+    // Traffic on established flows shows that the machine is alive, not that it accepts new work:
+    // it doesn't reset the count of unanswered attempts and doesn't readmit the target.
     m_unansweredOpens = std::min(m_unansweredOpens, UnansweredToEject - 2);
 }
 
--- a/src/core/targets/impl/health_tracker.h
+++ b/src/core/targets/impl/health_tracker.h
@@ -8,17 +8,19 @@
 
 namespace baobabtrail::impl {
 
-/// \brief What an owner has seen of one target, and the verdict that follows.
+/// \brief Passive health check of one target by its owner, with ejection, probes and warm-up.
 ///
-/// Only answers and their absence count; a report of good health, or of bad, moves nothing.
+/// Only answers and missing answers count; what the target reports of its own health does not.
 class HealthTracker
 {
 public:
-    /// \param cold Whether the target is new and has to ramp up.
+    /// \brief The target answered a hello.
+    /// \param sameService Whether it serves the service that it was declared for.
+    /// \param cold Whether the target is new and has to warm up.
     void verified(bool sameService, bool cold, TimePoint now) noexcept;
     void linkLost(TimePoint now) noexcept;
     void succeeded(TimePoint now) noexcept;
-    /// \brief An answer that carries no success, such as a shed: the target lives.
+    /// \brief An answer that is no success, such as a shed attempt: the target is alive.
     void answered(TimePoint now) noexcept;
     void unanswered(TimePoint now) noexcept;
     void openAnswered(TimePoint now) noexcept;
@@ -29,9 +31,9 @@
     [[nodiscard]] TargetHealth health(TimePoint now) const noexcept;
     [[nodiscard]] bool ejected() const noexcept { return m_ejectedAt.has_value(); }
     [[nodiscard]] bool linkUp() const noexcept { return m_linkUp; }
-    /// \return Whether the target proved that it serves the service it was declared for.
+    /// \return Whether the target has confirmed the service that it was declared for.
     [[nodiscard]] bool identified() const noexcept { return m_identified && !m_mismatch; }
-    /// \return Whether an ejected target may get one piece of work now, to see if it is back.
+    /// \return Whether an ejected target may get one attempt or open now, as a probe.
     [[nodiscard]] bool mayProbe(TimePoint now) const noexcept;
     /// \return Share of its capacity that the target may use, from 0 to 1.
     [[nodiscard]] double share(TimePoint now) const noexcept;
@@ -54,7 +56,7 @@
     double m_failureShare = 0;
     double m_samples = 0;
     std::optional<TimePoint> m_ejectedAt;
-    std::uint32_t m_ejections = 0; ///< Since the target last did well for long.
+    std::uint32_t m_ejections = 0; ///< Reset once the target was good for EjectionsResetAfter.
     std::uint32_t m_probeSuccesses = 0;
     bool m_helloSinceEjection = false;
     TimePoint m_lastProbe = TimePoint::min();
--- a/src/core/targets/impl/hinted_load.h
+++ b/src/core/targets/impl/hinted_load.h
@@ -7,10 +7,10 @@
 
 namespace baobabtrail::impl {
 
-/// \brief Load that an owner gives for a target which may get no work.
+/// \brief Load that an owner reports for a target that may get no work.
 inline constexpr float UnavailableLoad = 1e6F;
 
-/// \brief The load of a target that another daemon owns, from what was last heard of it.
+/// \brief Load of a target that another daemon owns, estimated from the owner's last hint.
 class HintedLoad
 {
 public:
@@ -18,28 +18,29 @@
     void sentRequest(double share) noexcept { m_requestsSent += share; }
     void sentFlow(double share) noexcept { m_flowsSent += share; }
 
-    /// \brief What the load is by now: what was heard fades into \a average.
+    /// \brief Estimates the load of requests: the last hint, decaying to \a average.
     ///
-    /// A stale low load would draw every daemon's asks at once, a stale high one would keep them
-    /// away for ever; after a few service times neither says more than the mean of all.
+    /// A stale low load would attract the requests of all daemons at once (thundering herd), a
+    /// stale high one would keep them away for ever. After a few service times a hint is no better
+    /// than the average of all targets. \param decayTime Time constant of the decay.
     [[nodiscard]] double requests(double average, Duration decayTime, TimePoint now) const noexcept;
     [[nodiscard]] double flows(double average, TimePoint now) const noexcept;
-    /// \return Whether its owner said lately that it may get no work.
+    /// \return Whether its owner recently reported that it may get no work.
     [[nodiscard]] bool unavailable(TimePoint now) const noexcept;
     [[nodiscard]] bool known() const noexcept { return m_hintedAt != TimePoint::min(); }
 
 private:
     LoadHint m_last;
     TimePoint m_hintedAt = TimePoint::min();
-    double m_requestsSent = 0; ///< Asks sent since, over the target's limit.
+    double m_requestsSent = 0; ///< Requests sent since the hint, over the target's limit.
     double m_flowsSent = 0;
 };
 
-/// \brief Whether another daemon answers the asks that are handed to it.
+/// \brief Whether another daemon answers the handoffs that are sent to it.
 ///
-/// The view drops a dead daemon only after seconds; until then every ask that it gets is lost and
-/// its caller waits for nothing. Three asks without an answer end that; one now and then,
-/// less and less often, finds out whether it is back.
+/// The view drops a dead daemon only after seconds; until then every handoff to it is lost and its
+/// caller waits in vain. After three unanswered handoffs the daemon counts as silent. It is then
+/// retried with exponential back-off, to notice when it is back.
 class OwnerContact
 {
 public:
--- a/src/core/targets/impl/owner_side.cpp
+++ b/src/core/targets/impl/owner_side.cpp
@@ -25,13 +25,13 @@
 {
     switch (health) {
     case TargetHealth::Ejected:
-        return "does not answer and is ejected";
+        return "is ejected: it does not answer";
     case TargetHealth::Mismatch:
-        return "says that it serves another service and gets nothing";
+        return "reports that it serves another service and gets no work";
     case TargetHealth::Warming:
-        return "takes work and is warming up";
+        return "accepts work and is warming up";
     default:
-        return "takes its full share";
+        return "is healthy and gets its full share";
     }
 }
 
@@ -64,9 +64,9 @@
 
 bool TargetTable::Impl::maySendAhead(const Record &record, TimePoint now) const noexcept
 {
-    // Between an answer and the next dispatch a slot is idle for a round trip, a few hundredths of
-    // the capacity, which is what lacks when all queues are long. Then, and only then, one more
-    // request waits at the target itself.
+    // Between an answer and the next dispatch a slot is idle for a round trip. That costs a few
+    // percent of the capacity, which matters only while all queues are long; so only then one more
+    // request is sent ahead to wait at the target itself.
     if (record.waiting == 0 || record.healthTracker.ejected() || now < record.noAheadUntil)
         return false;
     const Group *serviceGroup = group(record.service);
@@ -91,8 +91,8 @@
     LoadHint hint;
     hint.target = record.config.id;
     const double allowed = attemptsAllowed(record, now);
-    // What the target reports beyond our own attempts counts, but never for more than half of its
-    // slots: a target that always says it is full would else get nothing for ever.
+    // Requests that the target reports beyond this daemon's attempts count, but for at most half of
+    // its slots: otherwise a target that always reports to be full would never get any work.
     const double foreign = std::clamp(record.foreign - 1.0, 0.0, allowed / 2);
     hint.requests = static_cast<float>((record.running + record.waiting + foreign) / allowed);
     if (!takesWork(record, now))
@@ -104,8 +104,8 @@
     const double average = serviceGroup ? serviceGroup->averageFlows : 0;
     const double weight = std::max<double>(record.config.weight, 1);
     const double held = (record.connections.value() + record.offers) / weight;
-    // A cold target holds next to nothing and would win every comparison; told as the usual load
-    // at first, it gets its even share and no herd.
+    // A cold target has hardly any flows and would win every comparison. Reported with the average
+    // load at first, it gets an even share instead of a thundering herd.
     const double share = record.healthTracker.share(now);
     hint.flows = static_cast<float>(share * held + (1.0 - share) * std::max(average, held));
     return hint;
@@ -141,16 +141,16 @@
     case AttemptEnd::Shed:
         record.aliveAt = now;
         record.healthTracker.answered(now);
-        // A shed of what was sent ahead of a slot says that the target keeps no queue, not that it
-        // sustains fewer than its slots.
+        // If an attempt that was sent ahead of a slot is shed, the target has no queue; it doesn't
+        // mean that it sustains fewer attempts than its slots.
         if (running > attemptsAllowed(record, now))
             record.noAheadUntil = now + NoAheadAfterShed;
         else
             record.limit.shed(now);
         return;
     case AttemptEnd::TimedOut:
-        // A caller with a very short deadline says nothing about the target: counted, one
-        // impatient workspace could eject every target of the service.
+        // A very short deadline tells nothing about the target. If it counted, one workspace with
+        // such deadlines could eject every target of the service.
         if (runTime >= MinTimeoutInServiceTimes * average)
             record.healthTracker.unanswered(now);
         return;
@@ -158,7 +158,7 @@
         record.healthTracker.answered(now);
         return;
     case AttemptEnd::LinkBroken:
-        // linkLost() counts the broken connection once, not for each attempt that was on it.
+        // linkLost() counts the broken connection once, instead of once for each attempt on it.
         return;
     }
 }
@@ -181,16 +181,16 @@
             = record->own ? record->healthTracker.ejected() : record->hinted.unavailable(now);
         dead += looksDead ? 1 : 0;
     }
-    // When most targets look dead it is likelier that this daemon can't hear them; ejecting them
-    // all would turn a fault of ours into an outage, so they are served on.
+    // If most targets look dead, it is more likely that this daemon is cut off from them. Ejecting
+    // all of them would turn its own fault into an outage, so they stay in use (panic mode).
     serviceGroup.panicMode = dead * 2 > serving;
 }
 
 std::optional<TimePoint> TargetTable::Impl::due(const Record &record) const noexcept
 {
     const auto at = record.own ? record.healthTracker.probeAt() : std::nullopt;
-    // A probe that has fallen due waits for work to come; a timer in the past would expire at once,
-    // again and again.
+    // An overdue probe waits until there is work for it. A timer in the past would expire at once,
+    // over and over.
     return at && *at > m_advancedAt ? at : std::nullopt;
 }
 
@@ -220,12 +220,12 @@
     if (!record)
         return std::nullopt;
     const bool alive = record->aliveAt != TimePoint::min() && now - record->aliveAt < MaxAliveAge;
-    // A target that is silent to all may be back in a moment with its flows intact; only when it
-    // stays silent are they moved.
+    // A target that answers nobody may be back in a moment with its flows intact. They are reopened
+    // only if it stays silent.
     if (!alive && unanswered < UnansweredWhenGone)
         return std::nullopt;
-    // One dead target holds thousands of flows; reopened at once they would overload the rest.
-    // Whoever finds no token asks again with the flow's next keep-alive.
+    // A dead target had thousands of flows, which would overload the others if reopened at once. A
+    // caller that gets no token from the budget is considered again with its next keep-alive.
     if (!record->reopens.available(now) || !m_reopens.available(now))
         return std::nullopt;
     record->reopens.spend();
--- a/src/core/targets/impl/placement.cpp
+++ b/src/core/targets/impl/placement.cpp
@@ -15,17 +15,18 @@
 constexpr double SpillAbove = 1.0;
 constexpr double SpillUntil = 0.75;
 constexpr double RemotePenalty = 0.1;
-/// What is known of another domain's daemons may be late, and then a spilled ask needs a forward
-/// there to reach an owner; one that was declined often has none left.
+/// The known members of another domain may be out of date; a request that spills over then needs a
+/// forward over there to reach the owner. One that was declined more often may have none left.
 constexpr std::size_t MaxDeclinedToSpill = 1;
-/// A forward costs a fraction of a millisecond, a wait half a service time: worth a try also where
-/// the other target is thought to be somewhat more loaded, as loads last heard are rarely exact.
+/// A forward costs a fraction of a millisecond, a wait half a service time. So a forward is worth
+/// it even where the other target's known load is up to this much higher, as hints are rarely
+/// exact.
 constexpr double MinGainToForward = 2.0;
-/// Of more candidates the seemingly best would be the same for all daemons more often: a herd.
+/// With more candidates, all daemons would more often choose the same target (thundering herd).
 constexpr std::size_t Candidates = 3;
 constexpr double InfiniteLoad = std::numeric_limits<double>::infinity();
-/// The second candidate of a flow must be clearly less loaded, so that an open that is sent twice
-/// through daemons with slightly different knowledge finds the same target.
+/// The second candidate of a flow must be clearly less loaded to be chosen, so that an open that is
+/// sent through two daemons with slightly different loads gets the same target.
 constexpr double ClearlyLess = 0.98;
 constexpr std::uint32_t SendsPerPair = 2;
 
@@ -42,7 +43,7 @@
 
 constexpr double InverseOfRange = 1.0 / 18446744073709551616.0;
 
-/// Weighted rendezvous: over many flows, a target ranks first in proportion to its weight.
+/// Weighted rendezvous hashing: over many flows, a target ranks first in proportion to its weight.
 [[nodiscard]] double rank(FlowId flow, const TargetConfig &target) noexcept
 {
     const std::uint64_t mixed = impl::hashPair(flow.value(), target.id.value());
@@ -79,7 +80,7 @@
     }
     if (!m_candidates.empty() || !declined.empty())
         return;
-    // When nobody seems to answer, this daemon's own hearing is the likelier fault.
+    // If no owner seems to answer, it is more likely that this daemon is cut off from them.
     for (Record *record : serviceGroup.local) {
         if (placeable(*record, declined))
             m_candidates.push_back(record);
@@ -169,7 +170,7 @@
     });
     updateSpilling(serviceGroup, least);
     const Scored best = leastLoadedOfSample(serviceGroup, m_candidates, now, random);
-    // What is known for certain, and needs no hop, goes before what was heard.
+    // A target of this daemon is preferred: its load is exact, and it needs no further hop.
     return own.record && own.load < best.load ? own : best;
 }
 
@@ -188,7 +189,8 @@
     }
     if (!best.record)
         return std::nullopt;
-    // The ask waits where it is when all else is known to be worse; a forward would only add a hop.
+    // The request waits here if all other targets are known to be worse; a forward would only add
+    // a hop.
     if (waitsAtOwnTarget(declined) && best.load >= declined.back().requests + MinGainToForward)
         return std::nullopt;
     if (!best.record->own)
@@ -262,7 +264,7 @@
         average += AverageGain * (hint.requests - average);
     }
     if (hint.flows < impl::UnavailableLoad && record->local) {
-        // One false report of very many flows must not move what counts as usual.
+        // A single false report of very many flows must not move the average.
         double &average = serviceGroup->averageFlows;
         const double gain = average == 0 ? 1.0 : AverageGain;
         const double heard
--- a/src/core/targets/impl/table.h
+++ b/src/core/targets/impl/table.h
@@ -21,46 +21,46 @@
 inline constexpr double DaemonReopensPerSecond = 100;
 inline constexpr double DaemonReopenBurst = 50;
 
-/// \brief Everything known of one target.
+/// \brief Everything that this daemon knows of one target.
 struct TargetRecord
 {
     TargetConfig config;
     ServiceId service;
-    const Member *owner = nullptr; ///< As far as the view shows; null for none.
-    bool own = false;
+    const Member *owner = nullptr;    ///< According to the view; null for none.
+    bool own = false;                 ///< Owned by this daemon.
     bool local = false;               ///< In this daemon's failure domain.
-    std::optional<TimePoint> addedAt; ///< Set where it came with a later configuration.
+    std::optional<TimePoint> addedAt; ///< Set where a later configuration than the first added it.
 
     HealthTracker healthTracker;
     ConcurrencyLimit limit;
     ConnectionCount connections;
     HintedLoad hinted;
-    OwnerContact *contact = nullptr; ///< With the owner, where that is another daemon of ours.
+    OwnerContact *contact = nullptr; ///< State of the owner, where that is another daemon.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t offers = 0; ///< Opens that the target has not answered yet.
-    double foreign = 0;       ///< Requests that the target reports beyond ours, smoothed.
+    double foreign = 0;       ///< Average of requests that it reports beyond this daemon's.
     LoadReport report;
     TimePoint reportAt = TimePoint::min();
-    TimePoint noAheadUntil = TimePoint::min(); ///< No attempt is sent ahead of a slot before.
-    TimePoint aliveAt = TimePoint::min();      ///< Last sign of life, on any daemon.
+    TimePoint noAheadUntil = TimePoint::min(); ///< No attempt is sent ahead of a slot until then.
+    TimePoint aliveAt = TimePoint::min();      ///< Last message from it, at the owner or not.
     TokenBucket reopens{ReopensPerSecond, ReopenBurst};
-    TargetHealth loggedHealth = TargetHealth::Good; ///< In the log.
+    TargetHealth loggedHealth = TargetHealth::Good; ///< Health that was last written to the log.
 };
 
-/// \brief Targets of one service, by where they are.
+/// \brief Targets of one service, by failure domain, and averages over them.
 struct ServiceGroup
 {
     std::vector<TargetRecord *> local;
-    std::vector<TargetRecord *> remote; ///< In other domains.
+    std::vector<TargetRecord *> remote; ///< In other failure domains.
     double averageRequests = 0.8;
     double averageFlows = 0;
     double averageRemoteRequests = 0.8;
-    Duration decayTime = 20ms; ///< Mean service time seen here.
-    bool panicMode = false; ///< Most targets look dead: the observer is doubted, they are served.
+    Duration decayTime = 20ms; ///< Of load hints: the average service time that this daemon saw.
+    bool panicMode = false;    ///< Most targets look dead, so they are used all the same.
     bool spilling = false;
 
-    /// \brief Takes over what an earlier configuration's group has learnt.
+    /// \brief Retains the averages of the service's group under the previous configuration.
     void retainStatistics(const ServiceGroup &before)
     {
         averageRequests = before.averageRequests;
@@ -101,7 +101,7 @@
     void updatePanicMode(Record &record, TimePoint now);
     [[nodiscard]] std::optional<TimePoint> due(const Record &record) const noexcept;
 
-    // Choice.
+    // Placement.
     [[nodiscard]] std::optional<PlacementChoice>
     chooseForRequest(ServiceId service, const std::vector<LoadHint> &declined, TimePoint now,
                      Random &random);
@@ -118,12 +118,12 @@
     ConfigPtr config;
     boost::unordered_flat_map<TargetId, std::unique_ptr<Record>> records;
     boost::unordered_flat_map<ServiceId, Group> groups;
-    /// Owned targets and their services. What falls due by time concerns only these: a daemon owns
-    /// about seven of the thousands of targets that it knows.
+    /// Owned targets and their services. Timed work concerns only these: a daemon owns about seven
+    /// of the thousands of targets that it knows.
     std::vector<Record *> ownRecords;
     std::vector<Group *> ownGroups;
     std::map<DaemonId, impl::OwnerContact> contacts;
-    std::map<std::string, View> remoteViews; ///< Other domains as their own daemons see them.
+    std::map<std::string, View> remoteViews; ///< Members of the other failure domains.
 
 private:
     struct Scored
@@ -164,7 +164,7 @@
     void updateSpilling(Group &serviceGroup, double least) const noexcept;
     void updatePanicMode(Group &serviceGroup, TimePoint now) const noexcept;
 
-    std::vector<Record *> m_candidates; ///< Kept between calls to save allocations.
+    std::vector<Record *> m_candidates; ///< Reused between calls to save allocations.
     std::vector<Record *> m_remoteCandidates;
     std::vector<Scored> m_ranked;
     TimePoint m_advancedAt{};
--- a/src/core/targets/impl/token_bucket.h
+++ b/src/core/targets/impl/token_bucket.h
@@ -4,7 +4,7 @@
 
 namespace baobabtrail::impl {
 
-/// \brief A token bucket: so many a second, with a bounded burst.
+/// \brief A token bucket: limits a rate, with a bounded burst.
 class TokenBucket
 {
 public:
--- a/src/core/targets/target_status.h
+++ b/src/core/targets/target_status.h
@@ -6,16 +6,16 @@
 
 namespace baobabtrail {
 
-/// \brief What evidence says of a target.
+/// \brief Health of a target as its owner has observed it.
 enum class TargetHealth {
-    Unverified, ///< Has not said yet which service it serves.
+    Unverified, ///< Has not yet reported which service it serves.
     Good,
-    Warming,  ///< New or back again; gets a growing share.
-    Ejected,  ///< Does not answer; probed now and then.
-    Mismatch, ///< Says that it serves another service; gets nothing.
+    Warming,  ///< New or readmitted; gets a growing share.
+    Ejected,  ///< Does not answer; gets only probes.
+    Mismatch, ///< Reports that it serves another service; gets no work.
 };
 
-/// \brief What the owner of a target knows of it.
+/// \brief State of a target as its owner sees it.
 struct TargetStatus
 {
     TargetId target;
@@ -24,7 +24,7 @@
     double concurrencyLimit = 0;
     std::uint32_t running = 0; ///< Attempts of this owner that run now.
     std::uint32_t waiting = 0; ///< Reserved or queued at this owner.
-    LoadReport reported;       ///< What the target said last.
+    LoadReport reported;       ///< Last load report of the target.
     Duration reportAge{0};
 };
 
--- a/src/core/targets/target_table.cpp
+++ b/src/core/targets/target_table.cpp
@@ -14,7 +14,7 @@
 constexpr Duration FirstLinkRetry = 100ms;
 constexpr Duration MaxLinkRetry = 5s;
 constexpr std::uint32_t MaxDoublings = 6;
-/// How long a target that was just declared counts as cold, should its owner meet it then.
+/// A target whose link is verified within this time after it was declared counts as cold.
 constexpr Duration ColdFor = 60s;
 
 } // namespace
@@ -135,7 +135,7 @@
     const impl::TargetRecord *record = m_impl->findOwn(target);
     const std::uint32_t losses = record ? record->healthTracker.linkLosses() : 0;
     const Duration grown = FirstLinkRetry * (1U << std::min(losses, MaxDoublings));
-    // Without jitter every daemon would dial a target that comes back at the same instant.
+    // Without jitter every daemon would connect to a target that returns at the same instant.
     boost::random::uniform_real_distribution<double> jitter{0.5, 1.0};
     const auto bounded = static_cast<double>(std::min(grown, MaxLinkRetry).count());
     return Duration{static_cast<Duration::rep>(bounded * jitter(random))};
