--- a/tests/targets/health_test.cpp
+++ b/tests/targets/health_test.cpp
@@ -5,8 +5,8 @@
 using namespace baobabtrail;
 using test::TargetTableFixture;
 
-// One of three targets stops answering while its links stay up.
-// After five attempts in a row without an answer it gets no work; the others go on.
+// One of three targets stops answering while its links stay up. After five unanswered attempts in a
+// row it must get no work, while the others stay in use.
 Test(healthTracker, unansweredAttemptsEject)
 {
     TargetTableFixture fixture{3};
@@ -21,8 +21,8 @@
                   1000.0F);
 }
 
-// An ejected target's probe has fallen due, but no work comes that could be the probe.
-// The timer that announced it is not set again: it would expire at once, for ever.
+// The probe of an ejected target is due, but there is no work to probe with. The timer must not be
+// set again: it would expire at once, over and over.
 Test(healthTracker, anOverdueProbeSetsNoTimer)
 {
     TargetTableFixture fixture{3};
@@ -37,8 +37,8 @@
     cr_assert_eq(notices.size(), 1U);
 }
 
-// A target whose every second attempt fails never fails five times in a row.
-// Its share of failures ejects it all the same.
+// A target that fails two of three attempts never fails five times in a row. Its share of failures
+// must eject it all the same.
 Test(healthTracker, aHighShareOfFailuresEjects)
 {
     TargetTableFixture fixture{3};
@@ -50,8 +50,8 @@
     cr_assert(fixture.health(0) == TargetHealth::Ejected);
 }
 
-// A workspace sends requests whose deadlines are far below the service time; all time out.
-// The target did nothing wrong and must not be ejected for the others.
+// A workspace sends requests whose deadlines are far below the service time, so all of them time
+// out. The target is healthy and must not be ejected for other workspaces.
 Test(healthTracker, veryShortDeadlinesEjectNobody)
 {
     TargetTableFixture fixture{3};
@@ -62,8 +62,8 @@
     cr_assert(fixture.health(0) == TargetHealth::Good);
 }
 
-// A dead target's load endpoint and keep-alives still say that all is well, a live one's say that
-// it is full. Neither moves the verdict: only attempts and opens do.
+// A dead target's load reports and keep-alives still look good, and a live target reports to be
+// full. Neither may change its health: only attempts and opens do.
 Test(healthTracker, reportsNeitherEjectNorReadmit)
 {
     TargetTableFixture fixture{3};
@@ -82,8 +82,8 @@
     cr_assert(fixture.health(0) == TargetHealth::Ejected);
 }
 
-// An ejected target comes back. It is asked for a hello, then gets one attempt at a time; three
-// answers readmit it with a quarter of its share, which grows. A failed probe doubles the wait.
+// An ejected target comes back. After a new hello it gets one probe at a time; three answers
+// readmit it with a quarter of its share, which then grows. A failed probe doubles the back-off.
 Test(healthTracker, probesReadmitATargetGradually)
 {
     TargetTableFixture fixture{3, 1, 8};
@@ -117,8 +117,8 @@
     cr_assert(fixture.health(0) == TargetHealth::Good);
 }
 
-// This daemon's own network fails, so that two of its three targets seem to be dead.
-// It goes on serving all of them: refusing would make its fault an outage.
+// This daemon's own network fails, so that two of its three targets look dead. It must keep using
+// all of them (panic mode): ejecting them would turn its fault into an outage.
 Test(healthTracker, servesAllTargetsWhenMostLookDead)
 {
     TargetTableFixture fixture{3};
@@ -134,8 +134,8 @@
     cr_assert_not(fixture.table.takesWork(TargetTableFixture::target(0), fixture.now));
 }
 
-// A target answers its hello with another service's id, as after an address moved on.
-// It gets nothing, not even when most targets look dead.
+// A target answers its hello with the id of another service, as after an address was reassigned. It
+// must get no work, not even in panic mode.
 Test(healthTracker, aTargetOfAnotherServiceGetsNothing)
 {
     TargetTableFixture fixture{1};
@@ -148,8 +148,8 @@
     cr_assert_not(fixture.table.takesFlow(TargetTableFixture::target(0), fixture.now));
 }
 
-// Under the name of a removed target a new machine is declared.
-// What was learnt of the old one doesn't hold for it: it has to say who it is and to warm up.
+// A new machine is declared under the name of a removed target. The state of the old one doesn't
+// apply to it: it has to be verified and to warm up.
 Test(healthTracker, aNewGenerationStartsWithoutHistory)
 {
     TargetTableFixture fixture{3};
@@ -186,7 +186,7 @@
     cr_assert_eq(limit(), 10.0, "a quarter above the slots");
 }
 
-// A target slows down as more runs on it; its limit isn't raised on such successes.
+// A target slows down as more attempts run on it. Successes must not raise its limit then.
 Test(concurrencyLimit, isNotRaisedWhileAnswersSlowDown)
 {
     TargetTableFixture fixture{3, 1, 8};
@@ -200,8 +200,8 @@
                  9.0);
 }
 
-// Queues are long everywhere, so one request is sent ahead of a free slot; the target sheds it.
-// Its limit stays, and nothing is sent ahead of a slot for a while.
+// All queues are long, so one request is sent ahead of a free slot, and the target sheds it. Its
+// limit must stay, and nothing is sent ahead of a slot for a while.
 Test(concurrencyLimit, aShedOfAnAttemptSentAheadKeepsTheLimit)
 {
     TargetTableFixture fixture{3, 4, 2};
--- a/tests/targets/placement_test.cpp
+++ b/tests/targets/placement_test.cpp
@@ -29,8 +29,8 @@
 
 } // namespace
 
-// The load of a target was heard once, long ago: none on one, very many on another.
-// Neither gets all asks of all daemons, nor none for ever.
+// The last hints of two targets are old: no load on one, a very high load on the other. The first
+// must not get the requests of all daemons, and the second must not stay without any for ever.
 Test(placement, staleLoadsNeitherAttractNorStarve)
 {
     const auto fixture = withoutOwn();
@@ -41,7 +41,7 @@
     fixture->now += 5s;
     std::map<TargetId, int> counts;
     for (int i = 0; i < 1000; ++i) {
-        // An answer for each ask, so that no owner seems to be silent.
+        // An answer for each request, so that no owner seems to be silent.
         const TargetId chosen = fixture->choose()->target;
         ++counts[chosen];
         fixture->table.applyHint({TargetTableFixture::target(5), 0.8F, 0.0F}, fixture->now);
@@ -52,7 +52,8 @@
     cr_assert_gt(counts[TargetTableFixture::target(1)], 30);
 }
 
-// A fresh low load draws the next asks, but what was sent since counts: no herd of our own.
+// A recent hint of a low load attracts the next requests. Requests sent since must count, or this
+// daemon alone would overload the target (thundering herd).
 Test(placement, ownAsksCountUntilTheNextHint)
 {
     const auto fixture = withoutOwn();
@@ -65,8 +66,8 @@
     cr_assert_eq(counts.at(TargetTableFixture::target(0)), 20);
 }
 
-// Guards against new work for targets of an evacuated failure domain, on whichever way they look
-// least loaded.
+// Guards against new work for targets of an evacuated failure domain, even if they look least
+// loaded.
 Test(placement, targetsOfAnEvacuatedDomainGetNothing)
 {
     const auto fixture = withoutOwn();
@@ -81,8 +82,9 @@
         counts.at(TargetTableFixture::target(0)) + counts.at(TargetTableFixture::target(1)), 30);
 }
 
-// An owner died and the view still shows it alive; asks to it get no answer.
-// After three of them this daemon asks others, and tries the silent one once a second.
+// An owner died while the view still shows it as alive, so requests to it get no answer. After
+// three of them this daemon must choose others, and retry the silent one only after a second or
+// more.
 Test(placement, silentOwnersAreAvoided)
 {
     TargetTableFixture fixture{10, 2};
@@ -133,8 +135,8 @@
     cr_assert_not(fixture.choose(declined), "it had better wait than go where more wait");
 }
 
-// The own domain's targets are full. Asks go to the owner in the other domain as long as all here
-// stay full, and not back and forth at the border of being full.
+// The targets of the local domain are full. Requests spill over to the owner in the other domain
+// while all local targets stay full, with hysteresis instead of flapping at the threshold.
 Test(placement, spillsOverWithHysteresisAndNamesTheRemoteOwner)
 {
     TargetTableFixture fixture{1};
@@ -172,8 +174,8 @@
     cr_assert_not(fixture.choose());
 }
 
-// The accept of an open was lost and the caller sends it again, through another daemon whose loads
-// differ a little. Both opens find the same target; the third attempt moves on.
+// The accept of an open was lost, and the caller retries through another daemon whose loads differ
+// a little. Both opens must get the same target; the third attempt gets another one.
 Test(flows, aRepeatedOpenFindsTheSameTarget)
 {
     const auto one = withoutOwn();
@@ -192,8 +194,8 @@
     cr_assert_eq(moved, 200);
 }
 
-// A target says that it holds none of the flows that its owner just placed there, or hundreds of
-// thousands. Its load is taken for a usual one: it gets neither all flows nor none.
+// A target reports none of the flows that its owner just placed there, or a hundred thousand. It
+// must count as an average target, so that it gets neither all flows nor none.
 Test(flows, falseConnectionReportsAreIgnored)
 {
     for (const std::uint32_t claim : {0U, 100000U}) {
@@ -215,8 +217,8 @@
     }
 }
 
-// A target always reports that it is full. Its owner knows what runs there: at most half a target
-// is believed, so that it keeps getting work.
+// A target always reports that it is full. Its owner knows what runs there and counts the report
+// for at most half of the slots, so that the target still gets work.
 Test(placement, aTargetThatAlwaysReportsFullStillGetsWork)
 {
     TargetTableFixture fixture{2};
@@ -227,8 +229,8 @@
     cr_assert(fixture.table.slotFree(TargetTableFixture::target(0), fixture.now));
 }
 
-// A target with two thousand flows dies. Its callers' keep-alives stay unanswered and every daemon
-// is asked whether to reopen. A first few are told so, spread over seconds, then so many a second.
+// A target with two thousand flows dies, and the keep-alives of its callers stay unanswered. They
+// must not reopen at once: a first burst is spread over seconds, then the rate is limited.
 Test(reopening, aDeadTargetsFlowsAreNotReopenedAtOnce)
 {
     TargetTableFixture fixture{3};
@@ -252,7 +254,7 @@
     cr_assert_gt(longest, 1s);
 }
 
-// Many targets die together, as with their domain: the daemon's own budget bounds the sum.
+// Many targets die together, as when their domain is lost. The daemon's budget bounds the sum.
 Test(reopening, aDaemonsBudgetBoundsAllTargets)
 {
     TargetTableFixture fixture{50};
@@ -268,7 +270,7 @@
     cr_assert_eq(reopened, 50);
 }
 
-// One flow is silent while its target answers others: the target lost track of it.
+// One flow is silent while its target answers others, as the target has lost it.
 Test(reopening, aSilentFlowOfALiveTargetIsReopenedSoon)
 {
     TargetTableFixture fixture{3};
--- a/tests/targets/target_table_fixture.h
+++ b/tests/targets/target_table_fixture.h
@@ -7,7 +7,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief A service with targets in one or two domains and some daemons, as one daemon sees them.
+/// \brief A TargetTable of one daemon, with a service, its targets in one or two failure domains
+/// and the daemons of the view.
 class TargetTableFixture
 {
 public:
