--- a/src/core/flows/flow_router.cpp
+++ b/src/core/flows/flow_router.cpp
@@ -98,7 +98,7 @@
     const bool repeated = pending && pending->token.target == target
                           && pending->token.generation == config->generation;
     if (repeated) {
-        // The same token again: whichever of the two datagrams arrives, the target holds one flow.
+        // The same token as before: whichever datagrams arrive, the target has only one flow.
         token = pending->token;
     } else {
         if (m_pending.full() || !m_context.targets.takesFlow(target, turn.now))
@@ -145,9 +145,9 @@
                                                         FlowMessage{std::move(message)}}});
 }
 
-// A flow may last longer than any key is accepted: two rotations after it was placed its token
-// would be refused and the flow reset. Whichever daemon sees its next keep-alive seals the token
-// anew, for the caller and, by passing it on, for the target.
+// A flow may last longer than a key is accepted: two rotations after it was placed its token would
+// be refused and the flow reset. So any daemon that sees a keep-alive with an older key seals the
+// token with the current one, for the caller and, by forwarding the keep-alive, for the target.
 void FlowRouter::renewToken(const Endpoint &caller, KeepAlive &message, Turn &turn)
 {
     if (message.token.epoch >= m_context.keys->currentEpoch())
@@ -170,9 +170,8 @@
         forwardToTarget(caller, message, turn);
         return;
     }
-    // Something between the two ends has lost track of this flow: it stays silent for good while
-    // new flows work. The target is told too, so that it doesn't hold the old flow until it ages
-    // out.
+    // Something between caller and target has lost this flow: it stays silent while new flows work.
+    // The flow is closed at the target too, which would otherwise keep it until it times out.
     reset(caller, message.flow, message.token.service, ResetCause::Silent, *delay, turn);
     forwardToTarget(caller, CloseFlow{message.flow, message.token}, turn);
 }
@@ -190,7 +189,7 @@
     if (const RefuseFlow *refusal = std::get_if<RefuseFlow>(&datagram.body))
         return refused(datagram, *refusal, turn);
     if (m_pending.find(flow) && std::holds_alternative<ResetFlow>(datagram.body)) {
-        // The address serves another service by now: the open is not lost, it goes elsewhere.
+        // The address serves another service by now, so the open is placed at another target.
         turn.observe(RejectObserved{RejectKind::WrongTarget, token.service});
         return refused(datagram, RefuseFlow{flow, RefusalCause::NoTarget, Duration{0}}, turn);
     }
@@ -220,7 +219,7 @@
     const TargetId target = datagram.token.target;
     std::optional<PendingOpen> open = m_pending.take(refusal.flow, datagram.token);
     if (!open)
-        return; // The caller has asked again, or has its answer already.
+        return; // The caller has retried, or has its answer already.
     m_context.targets.flowRefused(target, datagram.load ? &*datagram.load : nullptr, turn.now);
     open->ask.hints.push_back(m_context.targets.loadOf(target, turn.now));
     place(std::move(open->ask), true, turn);
@@ -252,8 +251,8 @@
     if (error == TokenError::None)
         return true;
     turn.observe(RejectObserved{RejectKind::BadFlowToken, token.service});
-    // A daemon that has missed a key rotation can't judge newer tokens. It drops the datagram, as
-    // the network may; a reset would end a flow that every other daemon serves.
+    // A daemon that has missed a key rotation can't verify newer tokens. It drops the datagram, as
+    // the network might; a reset would end a flow that all other daemons forward.
     if (error == TokenError::UnknownEpoch && token.epoch > m_context.keys->currentEpoch())
         return false;
     reset(caller, flow, token.service, ResetCause::BadToken, Duration{0}, turn);
--- a/src/core/flows/flow_router.h
+++ b/src/core/flows/flow_router.h
@@ -7,25 +7,25 @@
 
 namespace baobabtrail {
 
-/// \brief Places new flows, and forwards all messages of established ones by their tokens.
+/// \brief Places new flows, and forwards all messages of established flows by their tokens.
 ///
-/// Established flows leave no state here: a daemon that was started a moment ago forwards them as
-/// well as any other.
+/// It keeps no state of established flows, so a daemon that has just started forwards them as well
+/// as any other.
 class FlowRouter
 {
 public:
     explicit FlowRouter(NodeContext &context);
 
     void fromCaller(const Endpoint &caller, FlowMessage message, Turn &turn);
-    /// \brief An OpenFlow that another daemon handed over.
+    /// \brief Handles an OpenFlow that another daemon handed over.
     void fromPeer(Handoff ask, Turn &turn);
     void fromTarget(const Endpoint &address, TargetDatagram datagram, Turn &turn);
 
-    /// \brief Gives up opens that targets did not answer in time.
+    /// \brief Drops pending opens that targets did not answer within the timeout.
     void advance(Turn &turn);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
     [[nodiscard]] std::size_t pendingOpens() const noexcept { return m_pending.size(); }
-    /// \return Whether an open waits for this target's answer.
+    /// \return Whether an open waits for an answer of this target.
     [[nodiscard]] bool hasPendingOpen(TargetId target) const noexcept;
 
 private:
--- a/src/core/flows/pending_opens.cpp
+++ b/src/core/flows/pending_opens.cpp
@@ -38,7 +38,7 @@
         const Expiry expiry = m_expiries.front();
         m_expiries.pop_front();
         const auto found = m_opens.find(expiry.flow);
-        // An answered open leaves its expiry behind, a repeated one is due later.
+        // The open was answered meanwhile, or sent again and expires later.
         if (found == m_opens.end() || found->second.until != expiry.at)
             continue;
         return take(expiry.flow, FlowToken{found->second.token});
--- a/src/core/flows/pending_opens.h
+++ b/src/core/flows/pending_opens.h
@@ -17,9 +17,9 @@
     TimePoint until;
 };
 
-/// \brief Opens that wait for an answer, at most a fixed number, one of each flow.
+/// \brief Bounded table of opens that wait for an answer, one per flow.
 ///
-/// Losing one is harmless: an accept finds its caller by the address that the target echoes.
+/// Losing an entry is harmless: an accept reaches its caller by the address that the target echoes.
 class PendingOpens
 {
 public:
@@ -33,11 +33,13 @@
     [[nodiscard]] bool full() const noexcept { return m_opens.size() >= m_capacity; }
     [[nodiscard]] const PendingOpen *find(FlowId flow) const noexcept;
 
-    /// \brief Adds an open, or takes the place of the flow's earlier one.
+    /// \brief Adds an open, or replaces the flow's earlier one.
     void add(FlowId flow, Handoff ask, const FlowToken &token, TimePoint now);
-    /// \return The open, no longer pending, where it waits for the token's target.
+    /// \brief Removes the open of a flow that was sent with this token.
+    /// \return The open, or nothing where there is none.
     [[nodiscard]] std::optional<PendingOpen> take(FlowId flow, const FlowToken &token);
-    /// \return An open whose time is over, no longer pending.
+    /// \brief Removes an open whose timeout has passed.
+    /// \return The open, or nothing where there is none.
     [[nodiscard]] std::optional<PendingOpen> takeExpired(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
     [[nodiscard]] bool hasPendingOpen(TargetId target) const noexcept;
@@ -52,7 +54,7 @@
     std::size_t m_capacity;
     Duration m_timeout;
     std::unordered_map<FlowId, PendingOpen> m_opens;
-    std::deque<Expiry> m_expiries; // In order of time, as all wait equally long.
+    std::deque<Expiry> m_expiries; // Ordered by time, as all have the same timeout.
     std::unordered_map<TargetId, std::size_t> m_perTarget;
 };
 
--- a/src/core/flows/target_cut.h
+++ b/src/core/flows/target_cut.h
@@ -5,12 +5,13 @@
 
 namespace baobabtrail {
 
-/// \brief Whether the target of an established flow has been cut off, by this configuration.
+/// \brief Whether the target of an established flow was cut or removed, by this configuration.
 ///
-/// A flow whose target was cut would go on into an address that may serve another service soon. A
-/// configuration older than the token can't tell a cut target from one it hasn't heard of yet; the
-/// target itself then refuses a service or generation that is not its own.
-/// \param config In force at the daemon that has to forward. \param token Already checked.
+/// Messages of such a flow would be sent to an address that may soon serve another service. A
+/// configuration older than the token can't tell a removed target from one that it doesn't know
+/// yet; then the target itself refuses a service or generation that is not its own. \param config
+/// Configuration in force at the forwarding daemon. \param token Token of the flow, already
+/// verified.
 [[nodiscard]] bool wasCut(const Config &config, const FlowToken &token) noexcept;
 
 } // namespace baobabtrail
