--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -41,8 +41,8 @@
 
 } // namespace
 
-// The open is sent twice before the accept arrives, then the accept comes twice: one token, so that
-// the target holds one flow. A daemon that has lost the open passes the accept on all the same.
+// An open is sent twice before the accept arrives, and the accept arrives twice. There must be one
+// token, so that the target has one flow. A daemon that lost the open still forwards the accept.
 Test(flow, isPlacedOnceForAllCopies)
 {
     NodeRig rig;
@@ -63,8 +63,8 @@
     cr_assert_eq(restarted.toCaller<AcceptFlow>().size(), 1);
 }
 
-// An open that came through another daemon is answered through it, with the owner's load, so that
-// the entry learns it without a control byte.
+// An open that was handed over by another daemon must be answered through that daemon, the entry.
+// The answer carries the owner's load, so that no extra messages are needed for it.
 Test(flow, isAnsweredThroughItsEntry)
 {
     NodeRig rig;
@@ -87,8 +87,8 @@
     cr_assert_eq(entry.toCaller<AcceptFlow>().size(), 1);
 }
 
-// Planned changes happen while a flow goes on: daemons are replaced, the configuration moves on,
-// the target drains or retires, keys are rotated once. The flow is forwarded by each of them.
+// Planned changes happen during a flow: daemons are replaced, the configuration changes, the target
+// drains or retires, keys are rotated once. Every daemon must keep forwarding the flow.
 Test(flow, survivesPlannedChange)
 {
     NodeRig rig;
@@ -105,7 +105,7 @@
 
     NodeRig restarted;
     cr_assert_eq(sendData(restarted, token).size(), 1);
-    // Behind by many revisions: it has not even heard of the target.
+    // A daemon many revisions behind, which doesn't know the target yet.
     TrafficNode behind{NodeRig::identity(), {}, rig.keys, 1};
     TrafficActions actions;
     behind.handle(FromCaller{NodeRig::Caller, FlowMessage{FlowData{Flow, token, ""}}}, rig.now,
@@ -113,8 +113,8 @@
     cr_assert(std::get<SendToTarget>(actions.at(0)).target == token.address);
 }
 
-// The target of a flow was cut, or its name stands for another machine by now. Its address may
-// serve another service: whoever knows of it resets the flow at once, in either direction.
+// The target of a flow was cut, replaced by another machine or removed, and its address may serve
+// another service by now. A daemon that knows this must reset the flow at once, in both directions.
 Test(flow, isResetOnceItsTargetIsCut)
 {
     for (const std::string change : {"cut", "replaced", "gone"}) {
@@ -136,9 +136,9 @@
     }
 }
 
-// Tokens that don't hold: for another flow, service or target, of keys long dropped. The sender is
-// told. One of a key that this daemon hasn't heard of yet is dropped without a word: a reset would
-// end a flow that every other daemon serves.
+// Tokens of another flow or service, or with a dropped key, must not be forwarded, and their sender
+// gets a reset. A token with a key that this daemon doesn't have yet is dropped silently: a reset
+// would end a flow that all other daemons forward.
 Test(flow, isForwardedOnlyWithAValidToken)
 {
     NodeRig rig;
@@ -157,8 +157,8 @@
     cr_assert_eq(rig.toCaller<ResetFlow>().at(0).cause, ResetCause::BadToken);
 }
 
-// Keys are rotated twice while a flow goes on, as they will be over the hours that it lasts. Its
-// token is of a key that is dropped by then; a keep-alive between the rotations gets it renewed.
+// Keys are rotated twice during a flow that lasts for hours, so the key of its token is dropped. A
+// keep-alive between the rotations must renew the token.
 Test(flow, getsItsTokenRenewedBeforeTheKeyIsDropped)
 {
     NodeRig rig;
@@ -174,8 +174,8 @@
     cr_assert(sendData(rig, token).empty());
 }
 
-// A caller plays the target: with its own token it would have the daemons send what it likes to
-// whom it likes. Only the address that the token names is heard.
+// A caller pretends to be the target: with the token of its own flow it could make daemons send any
+// data to any address. Only messages from the address in the token may be accepted.
 Test(flow, acceptsTargetMessagesOnlyFromTheTokensAddress)
 {
     NodeRig rig;
@@ -188,8 +188,9 @@
     cr_assert_eq(rig.all<SendToCaller>().size(), 1);
 }
 
-// The chosen target refuses the open, or says that it serves another service by now. The open goes
-// on to another target; only when none is left is the caller refused, with a time to come back.
+// The chosen target refuses the open, or reports that it serves another service by now. The open
+// must go to another target; only if none is left is the caller refused, with a time to retry
+// after.
 Test(flow, movesOnWhenATargetRefuses)
 {
     NodeRig rig{2};
@@ -203,7 +204,7 @@
     cr_assert(rig.toCaller<RefuseFlow>().at(0).retryAfter > 0s);
 }
 
-// Opens that targets never answer: their number is bounded, and they are given up in time.
+// Targets never answer some opens. The number of pending opens is bounded, and they expire.
 Test(flow, boundsPendingOpens)
 {
     TrafficSettings settings;
@@ -217,8 +218,8 @@
     cr_assert_eq(open(rig, FlowId{9}).size(), 1);
 }
 
-// Keep-alives of one flow stay unanswered while the target answers others: the caller is told to
-// open anew, the target to forget the old flow. One lost keep-alive does not do it.
+// Keep-alives of one flow stay unanswered while the target answers others. The caller must be told
+// to reopen and the target to close the old flow, but not after a single lost keep-alive.
 Test(flow, isReopenedOnceItIsSilent)
 {
     NodeRig rig;
@@ -234,8 +235,8 @@
     cr_assert(std::holds_alternative<CloseFlow>(told.at(0).datagram.body));
 }
 
-// Two daemons each take the other for the owner, while the views change. The ask would go round
-// between them for ever; after two forwards it ends with an answer to the caller.
+// While views change, two daemons each regard the other as the owner of a target. A handoff must
+// not loop between them for ever: after two forwards it ends with an answer to the caller.
 Test(flow, isNotForwardedInALoop)
 {
     NodeRig rig;
@@ -264,8 +265,8 @@
     }
 }
 
-// A daemon that has just joined gets asks before it knows any target. It gives them back to the
-// entry, which knows more, with the target marked; the entry refuses only what it can't place.
+// A daemon that has just joined gets handoffs before it knows any target. It must return them to
+// the entry, with the target marked as declined; the entry refuses only what it can't place itself.
 Test(flow, isReturnedByADaemonThatKnowsNoTarget)
 {
     NodeRig rig;
@@ -280,8 +281,8 @@
     cr_assert(returned.hints.at(0).target == TargetId{7});
 }
 
-// The service has targets in another failure domain only, or its own domain's are all drained. Asks
-// go to a daemon over there; its answer comes back through the entry.
+// A service has targets in another failure domain only, or all local ones are drained. Handoffs
+// must go to a daemon over there, whose answer comes back through the entry.
 Test(flow, isHandedToTheDomainThatHasTargets)
 {
     NodeRig rig{2};
@@ -308,7 +309,7 @@
     }
 }
 
-// An older configuration reaches the node after a newer one, as deliveries may cross.
+// An older configuration arrives after a newer one, as deliveries may be reordered.
 Test(flow, configurationNeverReverts)
 {
     NodeRig rig;
