--- a/src/core/limits/admission_queue.cpp
+++ b/src/core/limits/admission_queue.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double PaceGain = 0.1;
+constexpr double RunTimeGain = 0.1;
 constexpr Duration MinRetryAfter = 10ms;
 constexpr Duration MaxRetryAfter = 5s;
 constexpr double RefusalDecaySeconds = 1.0;
@@ -149,7 +149,7 @@
 {
     const auto sample = static_cast<double>(runTime.count());
     m_impl->meanRunMicros
-        += (m_impl->meanRunMicros == 0 ? 1.0 : PaceGain) * (sample - m_impl->meanRunMicros);
+        += (m_impl->meanRunMicros == 0 ? 1.0 : RunTimeGain) * (sample - m_impl->meanRunMicros);
     m_impl->slots = std::max(slots, 1U);
 }
 
--- a/src/core/targets/impl/hinted_load.cpp
+++ b/src/core/targets/impl/hinted_load.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration FlowsDecayTime = 30s;
 constexpr Duration UnavailableFor = 2s;
-constexpr std::uint32_t SilentAfterAsks = 3;
+constexpr std::uint32_t SilentAfterHandoffs = 3;
 constexpr Duration SilentAfter = 100ms;
 constexpr Duration FirstSilentRetry = 1s;
 constexpr std::uint32_t MaxDoublings = 3;
@@ -61,9 +61,9 @@
 
 bool OwnerContact::silent(TimePoint now) const noexcept
 {
-    if (m_unanswered < SilentAfterAsks || now - m_since < SilentAfter)
+    if (m_unanswered < SilentAfterHandoffs || now - m_since < SilentAfter)
         return false;
-    const std::uint32_t doublings = std::min(m_unanswered - SilentAfterAsks, MaxDoublings);
+    const std::uint32_t doublings = std::min(m_unanswered - SilentAfterHandoffs, MaxDoublings);
     return now - m_last < FirstSilentRetry * (1U << doublings);
 }
 
--- a/tests/targets/placement_test.cpp
+++ b/tests/targets/placement_test.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-[[nodiscard]] std::map<TargetId, int> countChoices(TargetTableFixture &fixture, int asks)
+[[nodiscard]] std::map<TargetId, int> countChoices(TargetTableFixture &fixture, int requests)
 {
     std::map<TargetId, int> counts;
-    for (int i = 0; i < asks; ++i)
+    for (int i = 0; i < requests; ++i)
         ++counts[fixture.choose()->target];
     return counts;
 }
 
 /// Ten targets of which this daemon owns none.
-[[nodiscard]] std::unique_ptr<TargetTableFixture> withoutOwn()
+[[nodiscard]] std::unique_ptr<TargetTableFixture> withoutOwnedTargets()
 {
     auto fixture = std::make_unique<TargetTableFixture>(10, 3);
     fixture->view.members.erase(fixture->view.members.begin());
@@ -33,7 +33,7 @@
 // must not get the requests of all daemons, and the second must not stay without any for ever.
 Test(placement, staleLoadsNeitherAttractNorStarve)
 {
-    const auto fixture = withoutOwn();
+    const auto fixture = withoutOwnedTargets();
     for (std::size_t i = 2; i < 10; ++i)
         fixture->table.applyHint({TargetTableFixture::target(i), 0.8F, 0.0F}, fixture->now);
     fixture->table.applyHint({TargetTableFixture::target(0), 0.0F, 0.0F}, fixture->now);
@@ -54,9 +54,9 @@
 
 // A recent hint of a low load attracts the next requests. Requests sent since must count, or this
 // daemon alone would overload the target (thundering herd).
-Test(placement, ownAsksCountUntilTheNextHint)
+Test(placement, requestsSentSinceTheHintCount)
 {
-    const auto fixture = withoutOwn();
+    const auto fixture = withoutOwnedTargets();
     for (std::size_t i = 2; i < 10; ++i)
         fixture->targetConfig(i).state = TargetState::Draining;
     fixture->apply();
@@ -70,7 +70,7 @@
 // loaded.
 Test(placement, targetsOfAnEvacuatedDomainGetNothing)
 {
-    const auto fixture = withoutOwn();
+    const auto fixture = withoutOwnedTargets();
     for (std::size_t i = 2; i < 10; ++i)
         fixture->targetConfig(i).evacuated = true;
     fixture->apply();
@@ -117,14 +117,14 @@
         cr_assert_eq(countChoices(fixture, 50)[TargetTableFixture::target(0)], 0);
         for (std::uint64_t flow = 1; flow < 50; ++flow)
             cr_assert(fixture.chooseFlow(flow)->target == TargetTableFixture::target(1));
-        const auto others = withoutOwn();
+        const auto others = withoutOwnedTargets();
         others->targetConfig(0).state = state;
         others->apply();
         cr_assert_eq(countChoices(*others, 200)[TargetTableFixture::target(0)], 0);
     }
 }
 
-Test(placement, anAskMovesOnToTargetsThatDidNotDecline)
+Test(placement, aRequestMovesOnToTargetsThatDidNotDecline)
 {
     TargetTableFixture fixture{3};
     const std::vector<LoadHint> declined{{TargetTableFixture::target(0), 1.5F, 0.0F},
@@ -178,8 +178,8 @@
 // a little. Both opens must get the same target; the third attempt gets another one.
 Test(flows, aRepeatedOpenFindsTheSameTarget)
 {
-    const auto one = withoutOwn();
-    const auto other = withoutOwn();
+    const auto one = withoutOwnedTargets();
+    const auto other = withoutOwnedTargets();
     int moved = 0;
     for (std::uint64_t flow = 1; flow <= 200; ++flow) {
         for (std::size_t i = 0; i < 10; ++i) {
