--- a/src/core/overload/overload_settings.h
+++ b/src/core/overload/overload_settings.h
@@ -13,7 +13,7 @@
     bool newestFirst = true; ///< Send the newest request first; else the oldest.
     bool priorities = true;  ///< Send by the route's priority first, then by age.
     /// A target counts as saturated when its average answer takes more than this share of the
-    /// promised latency; its window then holds answers at this share. The rest is left for the
+    /// promised latency; its window then keeps answers at this share. The rest is left for the
     /// wait here and for requests that take longer than average. Targets with free slots answer
     /// within a quarter to a third of the promised latency.
     double saturatedShare = 0.6;
--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -136,9 +136,9 @@
     }
 }
 
-// Tokens of another flow or service, or with a dropped key, must not be forwarded, and their sender
-// gets a reset. A token with a key that this daemon doesn't have yet is dropped silently: a reset
-// would end a flow that all other daemons forward.
+// Tokens of another flow, service or target, or with a dropped key, must not be forwarded, and
+// their sender gets a reset. A token with a key that this daemon doesn't have yet is dropped
+// silently: a reset would end a flow that all other daemons forward.
 Test(flow, isForwardedOnlyWithAValidToken)
 {
     NodeRig rig;
@@ -189,8 +189,7 @@
 }
 
 // The chosen target refuses the open, or reports that it serves another service by now. The open
-// must go to another target; only if none is left is the caller refused, with a time to retry
-// after.
+// must go to another target; only if none is left is the caller refused, with a time to retry.
 Test(flow, movesOnWhenATargetRefuses)
 {
     NodeRig rig{2};
@@ -266,7 +265,8 @@
 }
 
 // A daemon that has just joined gets handoffs before it knows any target. It must return them to
-// the entry, with the target marked as declined; the entry refuses only what it can't place itself.
+// the entry, which knows more, with the target marked as declined; the entry refuses only what it
+// can't place.
 Test(flow, isReturnedByADaemonThatKnowsNoTarget)
 {
     NodeRig rig;
--- a/tests/targets/health_test.cpp
+++ b/tests/targets/health_test.cpp
@@ -101,7 +101,7 @@
 
     fixture.table.linkVerified(dead, TargetTableFixture::id(), {}, fixture.now);
     fixture.now += 1500ms;
-    cr_assert_not(fixture.table.takesWork(dead, fixture.now), "the second wait is longer");
+    cr_assert_not(fixture.table.takesWork(dead, fixture.now), "the second back-off is longer");
     fixture.now += 500ms;
     for (int i = 0; i < 3; ++i) {
         cr_assert(fixture.table.takesWork(dead, fixture.now));
@@ -214,7 +214,7 @@
                                 fixture.now);
     fixture.table.attemptStarted(own, fixture.now);
     fixture.table.attemptStarted(own, fixture.now);
-    cr_assert_not(fixture.table.slotFree(own, fixture.now), "nobody waits");
+    cr_assert_not(fixture.table.slotFree(own, fixture.now), "no request waits");
     fixture.table.setWaiting(own, 1);
     cr_assert(fixture.table.slotFree(own, fixture.now));
     fixture.attempt(static_cast<std::size_t>(index), AttemptEnd::Shed, 1ms);
--- a/tests/targets/placement_test.cpp
+++ b/tests/targets/placement_test.cpp
@@ -102,7 +102,7 @@
         fixture.now += 10ms;
     }
     cr_assert_lt(toSilent, 25, "%d of 400", toSilent);
-    cr_assert_gt(toSilent, 4, "it is tried now and then");
+    cr_assert_gt(toSilent, 4, "it is retried now and then");
 }
 
 Test(placement, drainingRetiringAndCutGetNothing)
@@ -132,7 +132,7 @@
     cr_assert(fixture.choose(declined)->target == TargetTableFixture::target(2));
     for (int i = 0; i < 8; ++i)
         fixture.table.attemptStarted(TargetTableFixture::target(2), fixture.now);
-    cr_assert_not(fixture.choose(declined), "it had better wait than go where more wait");
+    cr_assert_not(fixture.choose(declined), "it waits rather than go to a longer queue");
 }
 
 // The targets of the local domain are full. Requests spill over to the owner in the other domain
