--- a/scripts/rename.py
+++ b/scripts/rename.py
@@ -200,6 +200,10 @@
     return git("log", "-1", "--format=%at %B", commit).strip()
 
 
+def moves(commands):
+    return [pair for pairs, _ in commands for pair in pairs if isPath(pair[0])]
+
+
 def textAt(commit, path, renames):
     """The file of a commit with renames made in it; empty where it isn't there."""
     text = git("show", f"{commit}:{path}", check=False)
@@ -246,6 +250,7 @@
         broken = []
         if commands:
             for pairs, within in commands:
+                within = within + [new for old, new in moves(foreign) if old in within]
                 apply([(o, n) for o, n in pairs if not isPath(o) or os.path.exists(o)], within)
             git("add", "-A", *FOLDERS)
         else:
