--- a/src/core/direct/cold_target_limiter.cpp
+++ b/src/core/direct/cold_target_limiter.cpp
@@ -27,7 +27,8 @@
 {
     if (!m_isOwner || m_owners == 0 || now - m_ownerSince < Span)
         return false;
-    const double part = limit.perSecond / (OverlappingOwnerSets * static_cast<double>(m_owners));
+    const double part
+        = limit.flowsPerSecond / (OverlappingOwnerSets * static_cast<double>(m_owners));
     const auto most = static_cast<std::size_t>(part);
     const auto found = m_placed.find(target);
     if (found == m_placed.end())
