--- a/tests/direct/cold_test.cpp
+++ b/tests/direct/cold_test.cpp
@@ -43,7 +43,7 @@
         DirectFleet &daemon = *m_daemons[index];
         daemon.now = now;
         daemon.router().setRoutes(boundedRoutes());
-        own(index, index < m_owners);
+        setOwner(index, index < m_owners);
         RegisteredTarget cold = DirectFleet::target(Cold);
         cold.warmUpLeft = 60s;
         daemon.router().putTarget(cold, now);
@@ -51,7 +51,7 @@
             daemon.add(Warm);
     }
 
-    void own(std::size_t index, bool isOwner)
+    void setOwner(std::size_t index, bool isOwner)
     {
         m_daemons[index]->router().setColdOwners(m_owners, isOwner, now);
     }
@@ -66,7 +66,7 @@
     }
 
     /// \return Most flows at the cold target in any span of a second.
-    [[nodiscard]] std::size_t mostInASecond() const
+    [[nodiscard]] std::size_t maxWithinASecond() const
     {
         std::size_t most = 0;
         for (auto first = m_atCold.begin(); first != m_atCold.end(); ++first) {
@@ -90,7 +90,7 @@
 
 /// \brief 1,500 new flows a second at chance daemons, for ten seconds.
 template <typename EachStep>
-void play(ColdFleet &fleet, std::size_t size, std::uint64_t seed, EachStep eachStep)
+void openRandomly(ColdFleet &fleet, std::size_t size, std::uint64_t seed, EachStep eachStep)
 {
     Random random{seed};
     boost::random::uniform_int_distribution<std::size_t> daemon{0, size - 1};
@@ -108,9 +108,9 @@
 {
     for (const std::size_t size : {8U, 90U, 630U}) {
         ColdFleet fleet{size, 3};
-        play(fleet, size, size, [](int, std::size_t) {});
-        cr_assert_leq(fleet.mostInASecond(), PerSecond, "%zu daemons: %zu", size,
-                      fleet.mostInASecond());
+        openRandomly(fleet, size, size, [](int, std::size_t) {});
+        cr_assert_leq(fleet.maxWithinASecond(), PerSecond, "%zu daemons: %zu", size,
+                      fleet.maxWithinASecond());
         cr_assert_gt(fleet.atCold(), 0U);
     }
 }
@@ -122,16 +122,17 @@
     constexpr std::size_t size = 8;
     for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
         ColdFleet fleet{size, 3};
-        play(fleet, size, seed, [&fleet](int step, std::size_t victim) {
+        openRandomly(fleet, size, seed, [&fleet](int step, std::size_t victim) {
             if (step % 97 == 0)
                 fleet.start(victim);
             if (step != 5000)
                 return;
             for (const std::size_t index : {3U, 4U, 5U})
-                fleet.own(index, true); // These have read the new settings, the others have not.
+                fleet.setOwner(index,
+                               true); // These have read the new settings, the others have not.
         });
-        cr_assert_leq(fleet.mostInASecond(), PerSecond, "seed %lu: %zu", seed,
-                      fleet.mostInASecond());
+        cr_assert_leq(fleet.maxWithinASecond(), PerSecond, "seed %lu: %zu", seed,
+                      fleet.maxWithinASecond());
     }
 }
 
@@ -140,8 +141,8 @@
 Test(cold, withoutAWarmTargetTheBoundHoldsToo)
 {
     ColdFleet fleet{90, 3, false};
-    play(fleet, 90, 1, [](int, std::size_t) {});
-    cr_assert_leq(fleet.mostInASecond(), PerSecond);
+    openRandomly(fleet, 90, 1, [](int, std::size_t) {});
+    cr_assert_leq(fleet.maxWithinASecond(), PerSecond);
     cr_assert_gt(fleet.atCold(), 0U);
 }
 
--- a/tests/direct/evacuation_test.cpp
+++ b/tests/direct/evacuation_test.cpp
@@ -68,7 +68,7 @@
 }
 
 // Guards against an opening that comes again and goes to the evacuated target of its first copy.
-Test(evacuation, anOpeningThatComesAgainMoves)
+Test(evacuation, aRetransmittedOpeningMoves)
 {
     ThreeTargets fleet;
     cr_assert(fleet.open(1).target != TargetId{3});
@@ -78,7 +78,7 @@
 }
 
 // Guards against a target that registers, or starts again, during the evacuation and gets flows.
-Test(evacuation, targetsThatComeMeanwhileGetNone)
+Test(evacuation, targetsThatRegisterMeanwhileGetNone)
 {
     DirectFleet fleet;
     (void)fleet.router().setEvacuated(Here, true, fleet.now);
--- a/tests/direct/label_test.cpp
+++ b/tests/direct/label_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace baobabtrail;
 
-Test(labels, everyTargetHasOneThatLeadsToItAlone)
+Test(labels, everyTargetHasALabelOfItsOwn)
 {
     LabelTable table;
     constexpr std::uint64_t targets = 4400;
@@ -23,7 +23,7 @@
 
 // Two targets share a fingerprint, and this daemon knows only one of them when it writes the label.
 // Another daemon, which knows both, must not guess: a wrong target would reset the flow.
-Test(labels, oneThatNamesTwoTargetsNamesNone)
+Test(labels, aLabelOfTwoTargetsIsNotResolved)
 {
     // Found by trying: the first pair of ids whose first fingerprints are the same.
     LabelTable table;
--- a/tests/direct/probe_test.cpp
+++ b/tests/direct/probe_test.cpp
@@ -40,7 +40,7 @@
     }
 
     /// \brief Opens a flow whose target says nothing, and sends the first segment again.
-    TargetId openInVain(std::uint16_t caller)
+    TargetId openUnanswered(std::uint16_t caller)
     {
         const TargetId target = open(caller).target;
         now += 200ms;
@@ -55,7 +55,7 @@
 Test(probes, aTargetThatRefusesConnectionsGetsNoNewFlow)
 {
     ProbedFleet fleet{2};
-    const TargetId full = fleet.openInVain(1);
+    const TargetId full = fleet.openUnanswered(1);
     cr_assert_eq(fleet.probe(ProbeOutcome::Refused), 2U);
     cr_assert(fleet.state(full) == DirectTargetState::Suspect);
     for (std::uint16_t caller = 10; caller < 40; ++caller)
@@ -63,29 +63,29 @@
 }
 
 // Guards against seconds in which callers find out one by one that a target is dark.
-Test(probes, oneOpeningInVainIsEnoughForADarkTarget)
+Test(probes, oneUnansweredOpeningIsEnoughForAnUnreachableTarget)
 {
     ProbedFleet fleet{2};
-    const TargetId dark = fleet.openInVain(1);
+    const TargetId unreachable = fleet.openUnanswered(1);
     cr_assert_eq(fleet.probe(ProbeOutcome::TimedOut), 2U);
-    cr_assert(fleet.state(dark) == DirectTargetState::Suspect);
+    cr_assert(fleet.state(unreachable) == DirectTargetState::Suspect);
     fleet.now += 400ms;
-    cr_assert(fleet.open(1, 2).target != dark);
+    cr_assert(fleet.open(1, 2).target != unreachable);
     for (std::uint16_t caller = 10; caller < 40; ++caller)
-        cr_assert(fleet.open(caller).target != dark);
+        cr_assert(fleet.open(caller).target != unreachable);
 }
 
 // Guards against callers that are spent on finding out whether a dark target is back.
-Test(probes, onlyAProbeBringsADarkTargetBack)
+Test(probes, onlyAProbeRestoresAnUnreachableTarget)
 {
     ProbedFleet fleet{2};
-    const TargetId dark = fleet.openInVain(1);
+    const TargetId unreachable = fleet.openUnanswered(1);
     (void)fleet.probe(ProbeOutcome::TimedOut);
     for (std::uint16_t second = 0; second < 10; ++second) {
         fleet.now += 1s;
         fleet.expire();
         cr_assert_leq(fleet.probe(ProbeOutcome::TimedOut), 1U);
-        cr_assert(fleet.open(10 + second).target != dark);
+        cr_assert(fleet.open(10 + second).target != unreachable);
     }
     fleet.now += 2s;
     fleet.expire();
@@ -93,38 +93,38 @@
     std::vector<DeliverSegment> tried;
     for (std::uint16_t caller = 100; caller < 140; ++caller) {
         const DeliverSegment placed = fleet.open(caller);
-        if (placed.target == dark)
+        if (placed.target == unreachable)
             tried.push_back(placed);
     }
     cr_assert_eq(tried.size(), 1U);
-    cr_assert(fleet.state(dark) == DirectTargetState::Suspect);
+    cr_assert(fleet.state(unreachable) == DirectTargetState::Suspect);
 }
 
 // Guards against an address that answers connections since another target has taken it: flows to
 // the one that is gone would be lost there.
-Test(probes, anAddressThatAnswersAgainIsTriedByOneFlow)
+Test(probes, anAddressThatAnswersAgainGetsOneTrialFlow)
 {
     ProbedFleet fleet{2};
-    const TargetId dark = fleet.openInVain(1);
+    const TargetId unreachable = fleet.openUnanswered(1);
     (void)fleet.probe(ProbeOutcome::TimedOut);
     fleet.now += 3s;
     fleet.expire();
     (void)fleet.probe(ProbeOutcome::Alive);
     std::uint16_t caller = 9;
     DeliverSegment placed;
-    while (placed.target != dark)
+    while (placed.target != unreachable)
         placed = fleet.open(++caller);
     (void)fleet.route(DirectFleet::data(caller, placed.label, 0, 0, 1));
-    cr_assert(fleet.state(dark) == DirectTargetState::Healthy);
+    cr_assert(fleet.state(unreachable) == DirectTargetState::Healthy);
 }
 
 // Guards against a failure domain that goes dark, and whose targets are found out one by one.
-Test(probes, severalSilentTargetsHaveTheirWholeDomainTried)
+Test(probes, severalSilentTargetsHaveTheirDomainProbed)
 {
     constexpr std::uint64_t count = 20;
     ProbedFleet fleet{count};
     fleet.add(count + 1, "alx-agami");
-    const auto dark = [](TargetId id) {
+    const auto unreachable = [](TargetId id) {
         return id.value() <= count / 2 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
     };
     for (std::uint16_t caller = 0; caller < 12; ++caller)
@@ -132,7 +132,7 @@
     fleet.now += 200ms;
     for (std::uint16_t caller = 0; caller < 12; ++caller)
         (void)fleet.open(caller, 1);
-    (void)fleet.probe(dark);
+    (void)fleet.probe(unreachable);
     for (std::uint64_t id = 1; id <= count; ++id) {
         const bool suspect = fleet.state(TargetId{id}) == DirectTargetState::Suspect;
         cr_assert_eq(suspect, id <= count / 2, "target %lu", id);
@@ -141,7 +141,7 @@
 }
 
 // Guards against callers on open flows of a dark target that wait until their time is up.
-Test(probes, aFlowOfADarkTargetEndsOnceItsCallerRepeats)
+Test(probes, aFlowOfAnUnreachableTargetIsResetOnceItsCallerRetransmits)
 {
     ProbedFleet fleet{1};
     const DeliverSegment placed = fleet.establish(1);
@@ -157,7 +157,7 @@
 
 // Guards against an open flow that is ended though its target lives: it is slow or overloaded, full
 // and takes no more connections, a packet of the probe was lost, or this daemon stood still.
-Test(probes, aFlowOfALivingTargetIsNeverEnded)
+Test(probes, aFlowOfALiveTargetIsNeverReset)
 {
     for (const ProbeOutcome outcome :
          {ProbeOutcome::Alive, ProbeOutcome::Refused, ProbeOutcome::Inconclusive}) {
@@ -194,12 +194,12 @@
     constexpr std::uint64_t count = 1000;
     ProbedFleet fleet{count};
     for (std::uint16_t caller = 0; caller < 400; ++caller) {
-        (void)fleet.openInVain(caller);
+        (void)fleet.openUnanswered(caller);
         for (const ProbeRequest &probe : fleet.router().takeProbes()) // 16 at once, and no more.
             fleet.router().probed(probe, ProbeOutcome::TimedOut, fleet.now);
         fleet.expire();
     }
-    const TargetId last = fleet.openInVain(500);
+    const TargetId last = fleet.openUnanswered(500);
     bool first = false;
     for (const ProbeRequest &probe : fleet.router().takeProbes()) {
         first = first || probe.target == last;
@@ -217,7 +217,7 @@
 
 // Guards against a target that is doubted since this daemon was late itself: both copies of an
 // opening waited here, and went on together.
-Test(probes, copiesThatCameTogetherSayNothing)
+Test(probes, delayedRetransmissionsAreNoEvidence)
 {
     ProbedFleet fleet{1};
     (void)fleet.open(1);
@@ -226,11 +226,11 @@
 }
 
 // Guards against a sign of life that does not end what probes said.
-Test(probes, aSignOfLifeEndsTheSuspicion)
+Test(probes, aResponseEndsTheSuspicion)
 {
     ProbedFleet fleet{1};
     const DeliverSegment kept = fleet.establish(1);
-    (void)fleet.openInVain(2);
+    (void)fleet.openUnanswered(2);
     (void)fleet.probe(ProbeOutcome::TimedOut);
     cr_assert(fleet.state(kept.target) == DirectTargetState::Suspect);
     (void)fleet.route(DirectFleet::data(1, kept.label, 0, 0, 50));
--- a/tests/direct/router_faults_test.cpp
+++ b/tests/direct/router_faults_test.cpp
@@ -9,7 +9,7 @@
 // A target's answer to the opening segment is lost; the caller sends it again after 200 ms.
 // A second target that answers as well would take the flow's label over, and the first one's
 // packets would go astray; so it goes to the same target while that is not known to be silent.
-Test(directRouter, aRepeatedOpeningGoesToTheSameTarget)
+Test(directRouter, aRetransmittedOpeningGoesToTheSameTarget)
 {
     DirectFleet fleet;
     for (std::uint64_t id = 1; id <= 10; ++id)
@@ -29,27 +29,27 @@
     fleet.add(1);
     fleet.add(2);
     std::uint16_t caller = 0;
-    std::vector<std::uint16_t> atDead;
-    while (atDead.size() < 2) {
+    std::vector<std::uint16_t> atSilent;
+    while (atSilent.size() < 2) {
         const DeliverSegment placed = fleet.open(caller);
         if (placed.target == TargetId{1})
-            atDead.push_back(caller);
+            atSilent.push_back(caller);
         else
             (void)fleet.route(DirectFleet::data(caller, placed.label, 0, 0, 1));
         ++caller;
     }
     fleet.now += 200ms;
-    for (const std::uint16_t waiting : atDead)
+    for (const std::uint16_t waiting : atSilent)
         (void)fleet.open(waiting, 1);
     cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
     fleet.now += 400ms;
-    cr_assert(fleet.open(atDead.front(), 2).target == TargetId{2});
+    cr_assert(fleet.open(atSilent.front(), 2).target == TargetId{2});
     for (std::uint16_t next = 100; next < 130; ++next)
         cr_assert(fleet.open(next).target == TargetId{2});
 }
 
 // A path heals: a suspect gets one flow now and then, and its answer ends the suspicion.
-Test(directRouter, aSuspectIsTriedAgain)
+Test(directRouter, aSuspectGetsTrialFlows)
 {
     DirectSettings settings;
     settings.suspectAfter = 1;
@@ -74,7 +74,7 @@
 // A target crashes; its registration goes a few seconds later. A caller with an open flow sends
 // its request again and again. Once the target is known to be gone, the flow is ended, so that the
 // caller asks anew instead of waiting until its time is up.
-Test(directRouter, flowsOfAGoneTargetThatIsSilentAreEnded)
+Test(directRouter, flowsOfAGoneTargetThatIsSilentAreReset)
 {
     DirectFleet fleet;
     fleet.add(1);
@@ -91,7 +91,7 @@
 
 // An upload of many packets is under way to a target that leaves; some packets overtake others.
 // The flow must not be ended: nothing was sent again, and the target takes it all.
-Test(directRouter, packetsOutOfOrderAreNoSignOfSilence)
+Test(directRouter, reorderedPacketsAreNoRetransmissions)
 {
     DirectFleet fleet;
     fleet.add(1);
@@ -156,7 +156,7 @@
 // A target crashes and starts again under its id before its registration lapses. Its flows are
 // gone, yet their requests would count as load there until they are forgotten, and the silence of
 // the crash would keep new flows away from a target that is empty.
-Test(directRouter, whatWasKnownOfATargetsLastLifeIsForgotten)
+Test(directRouter, aRestartedTargetBeginsWithoutLoadOrSuspicion)
 {
     DirectFleet fleet;
     RegisteredTarget entry = DirectFleet::target(1);
@@ -191,7 +191,7 @@
 
 // A registration is replaced by one that can't be read, or moves to another service. New flows
 // must not go there; an open one stays, since its target may live on.
-Test(directRouter, aRefusedRegistrationNamesNoTarget)
+Test(directRouter, anUnreadableRegistrationGetsNoNewFlow)
 {
     DirectFleet fleet;
     fleet.add(1);
--- a/tests/direct/router_held_test.cpp
+++ b/tests/direct/router_held_test.cpp
@@ -21,16 +21,16 @@
         for (std::uint16_t caller = 0; caller < Busy; ++caller) {
             if (const auto *window = gate.window(TargetId{1}); window && window->limited())
                 break;
-            (void)ask(caller);
+            (void)sendRequest(caller);
             fleet.now += 180ms;
             (void)fleet.route(DirectFleet::data(caller, labels[caller], 100, 0, 101));
         }
-        (void)ask(Busy);
+        (void)sendRequest(Busy);
     }
 
     /// The caller whose request is at the target.
     static constexpr std::uint16_t Busy = 30;
-    static constexpr std::uint16_t Waits = 31;
+    static constexpr std::uint16_t Waiting = 31;
 
     [[nodiscard]] static RouteTablePtr routesWithPromise()
     {
@@ -41,7 +41,7 @@
         return table;
     }
 
-    SegmentVerdict ask(std::uint16_t caller)
+    SegmentVerdict sendRequest(std::uint16_t caller)
     {
         return fleet.route(DirectFleet::data(caller, labels[caller], 0, 100, 1));
     }
@@ -59,13 +59,13 @@
 
 // A request waits for its saturated target. What its caller sends again meanwhile is no second
 // request, and no sign of a silent target; when an answer passes, the request goes on.
-Test(directRouter, aHeldRequestGoesOnWithTheNextAnswer)
+Test(directRouter, aHeldRequestIsForwardedAfterTheNextAnswer)
 {
     SaturatedFleet saturated;
     DirectFleet &fleet = saturated.fleet;
-    cr_assert(isHeld(saturated.ask(SaturatedFleet::Waits)));
+    cr_assert(isHeld(saturated.sendRequest(SaturatedFleet::Waiting)));
     fleet.now += 100ms;
-    cr_assert(isDrop(saturated.ask(SaturatedFleet::Waits)));
+    cr_assert(isDrop(saturated.sendRequest(SaturatedFleet::Waiting)));
     cr_assert(fleet.causes.back() == SegmentCause::Absorbed);
     cr_assert(fleet.router().takeHeldOutcomes().empty());
     const DirectTarget &target = fleet.router().targets().all().at(TargetId{1});
@@ -76,18 +76,18 @@
     fleet.router().serveHeld(fleet.now);
     const auto ends = fleet.router().takeHeldOutcomes();
     cr_assert(ends.size() == 1 && ends.front().shouldForward);
-    cr_assert(targetOf(saturated.ask(SaturatedFleet::Waits)) == TargetId{1});
+    cr_assert(targetOf(saturated.sendRequest(SaturatedFleet::Waiting)) == TargetId{1});
     cr_assert(target.held == 0 && target.inFlight == 1);
 }
 
 // The caller of a request that waits gives up. The request must never reach the target: its caller
 // may ask again elsewhere, and has been told nothing.
-Test(directRouter, aHeldRequestGoesWithItsCaller)
+Test(directRouter, aHeldRequestIsDroppedWithItsCaller)
 {
     SaturatedFleet saturated;
     DirectFleet &fleet = saturated.fleet;
-    cr_assert(isHeld(saturated.ask(SaturatedFleet::Waits)));
-    Segment abort = DirectFleet::data(SaturatedFleet::Waits, saturated.labels[31], 100, 0, 1);
+    cr_assert(isHeld(saturated.sendRequest(SaturatedFleet::Waiting)));
+    Segment abort = DirectFleet::data(SaturatedFleet::Waiting, saturated.labels[31], 100, 0, 1);
     abort.aborts = true;
     cr_assert(targetOf(fleet.route(abort)) == TargetId{1});
     const auto ends = fleet.router().takeHeldOutcomes();
@@ -97,12 +97,12 @@
 
 // A target falls silent while requests wait for it, or the daemon is told to stop. Nobody would
 // ever let them go.
-Test(directRouter, nothingWaitsForASilentTargetOrAStoppedDaemon)
+Test(directRouter, nothingIsHeldForASilentTargetOrByAStoppedDaemon)
 {
     SaturatedFleet silent;
-    cr_assert(isHeld(silent.ask(SaturatedFleet::Waits)));
+    cr_assert(isHeld(silent.sendRequest(SaturatedFleet::Waiting)));
     silent.fleet.now += 300ms;
-    (void)silent.ask(SaturatedFleet::Busy);
+    (void)silent.sendRequest(SaturatedFleet::Busy);
     (void)silent.fleet.open(35, 1);
     silent.fleet.now += 1ms;
     (void)silent.fleet.open(36);
@@ -113,20 +113,20 @@
     cr_assert(ends.size() == 1 && ends.front().shouldForward);
 
     SaturatedFleet stopped;
-    cr_assert(isHeld(stopped.ask(SaturatedFleet::Waits)));
+    cr_assert(isHeld(stopped.sendRequest(SaturatedFleet::Waiting)));
     stopped.fleet.router().stopHolding(stopped.fleet.now);
-    const auto let = stopped.fleet.router().takeHeldOutcomes();
-    cr_assert(let.size() == 1 && let.front().shouldForward);
-    cr_assert(!isHeld(stopped.ask(32)));
+    const auto released = stopped.fleet.router().takeHeldOutcomes();
+    cr_assert(released.size() == 1 && released.front().shouldForward);
+    cr_assert(!isHeld(stopped.sendRequest(32)));
 }
 
 // A request waits until no answer could reach its caller in time. It is given up with a line in
 // the log, and never runs for nobody.
-Test(directRouter, aHeldRequestIsGivenUpWhenNoAnswerCanBeInTime)
+Test(directRouter, aHeldRequestIsAbandonedWhenNoAnswerCanBeInTime)
 {
     SaturatedFleet saturated;
     DirectFleet &fleet = saturated.fleet;
-    cr_assert(isHeld(saturated.ask(SaturatedFleet::Waits)));
+    cr_assert(isHeld(saturated.sendRequest(SaturatedFleet::Waiting)));
     fleet.now += 990ms;
     fleet.router().serveHeld(fleet.now);
     const auto ends = fleet.router().takeHeldOutcomes();
@@ -136,7 +136,7 @@
 
 // The flow of a request goes through another daemon for a while. What its caller acknowledges when
 // it is back answers another request; taken for this one's, a target seemed to need seconds.
-Test(directRouter, answersToWhatWentElsewhereAreNotMeasured)
+Test(directRouter, answersToRequestsOfOtherDaemonsAreNotMeasured)
 {
     DirectFleet fleet;
     fleet.add(1);
--- a/tests/direct/router_test.cpp
+++ b/tests/direct/router_test.cpp
@@ -65,7 +65,7 @@
 
 // Every target of a service drains: a caller who wants to open a flow can't be served.
 // It has to be told at once instead of running into its time limit.
-Test(directRouter, withoutAnyTargetTheCallerIsToldAtOnce)
+Test(directRouter, withoutAnyTargetTheCallerIsResetAtOnce)
 {
     DirectFleet fleet;
     cr_assert(isAbort(fleet.route(DirectFleet::opening(1))));
@@ -74,7 +74,7 @@
 
 // A new route reaches this daemon late: a caller opens a flow at an address that is unknown here.
 // While the view may be out of date the caller must not be told that nobody serves it.
-Test(directRouter, aStaleViewRefusesNobody)
+Test(directRouter, aStaleViewResetsNoFlow)
 {
     DirectFleet fleet;
     fleet.add(1);
@@ -88,7 +88,7 @@
 
 // The operator removes a route while flows are open on it: they are ended at once, and open
 // again once the route is back.
-Test(directRouter, aRemovedRouteEndsItsFlows)
+Test(directRouter, aRemovedRouteResetsItsFlows)
 {
     DirectFleet fleet;
     fleet.add(1);
@@ -99,7 +99,7 @@
     cr_assert(fleet.open(2).target == TargetId{1});
 }
 
-Test(directRouter, theOwnFailureDomainGoesFirst)
+Test(directRouter, theLocalFailureDomainIsPreferred)
 {
     DirectFleet fleet;
     for (std::uint64_t id = 1; id <= 4; ++id)
@@ -145,8 +145,9 @@
 }
 
 /// \brief Lets the requests that are due end, with their flows.
-static void endUntilNow(DirectFleet &fleet,
-                        std::multimap<TimePoint, std::pair<std::uint16_t, DeliverSegment>> &running)
+static void
+endDueRequests(DirectFleet &fleet,
+               std::multimap<TimePoint, std::pair<std::uint16_t, DeliverSegment>> &running)
 {
     while (!running.empty() && running.begin()->first <= fleet.now) {
         const auto [done, where] = running.begin()->second;
@@ -169,7 +170,7 @@
     std::multimap<TimePoint, std::pair<std::uint16_t, DeliverSegment>> running;
     for (std::uint16_t caller = 0; caller < 600; ++caller) {
         fleet.now += 15ms;
-        endUntilNow(fleet, running);
+        endDueRequests(fleet, running);
         const DeliverSegment placed = fleet.establish(caller);
         (void)fleet.route(DirectFleet::data(caller, placed.label, 0, 100, 1));
         const Duration takes = placed.target == TargetId{2} ? 150ms : 30ms;
@@ -183,7 +184,7 @@
 // flow is one request, so that nothing but a new flow could show it. What was learnt fades, and it
 // has its part of the work again; if it did not, the others would go on alone with three requests
 // at a time.
-Test(directRouter, aTargetThatWasSlowOnceIsTriedAgain)
+Test(directRouter, aTargetThatWasSlowOnceRecovers)
 {
     constexpr int callers = 600;
     for (const bool fades : {true, false}) {
@@ -198,7 +199,7 @@
         int ofThatTarget = 0;
         for (std::uint16_t caller = 0; caller < callers; ++caller) {
             fleet.now += 20ms;
-            endUntilNow(fleet, running);
+            endDueRequests(fleet, running);
             const DeliverSegment placed = fleet.establish(caller);
             (void)fleet.route(DirectFleet::data(caller, placed.label, 0, 100, 1));
             const bool slowNow = placed.target == TargetId{2} && !std::exchange(wasSlow, true);
@@ -210,7 +211,7 @@
     }
 }
 
-Test(directRouter, whatIsKeptOfFlowsIsBounded)
+Test(directRouter, trackedFlowsAreBounded)
 {
     DirectSettings settings;
     settings.maxFlows = 100;
@@ -228,7 +229,7 @@
 
 // A route's flows are split between two services by weight. A first segment that comes again, or
 // reaches another daemon, has to find the same service.
-Test(directRouter, sharesOfARouteGoByTheFlow)
+Test(directRouter, sharesOfARouteAreChosenByFlow)
 {
     const ServiceId other = serviceId("other", "other");
     auto table = std::make_shared<RouteTable>(*DirectFleet::routes(2));
--- a/tests/direct/herd_test.cpp
+++ b/tests/direct/thundering_herd_test.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t Daemons = 30;
 
 /// \brief The daemons of a failure domain with its targets, each blind to the others' flows.
-struct Daemons30
+struct DaemonGroup
 {
-    explicit Daemons30(const DirectSettings &settings = {})
+    explicit DaemonGroup(const DirectSettings &settings = {})
     {
         for (std::size_t index = 0; index < Daemons; ++index) {
             daemons.push_back(std::make_unique<DirectFleet>(settings, index + 1));
@@ -55,9 +55,9 @@
 
 // Guards against all daemons that send every new flow to the one target whose registration is back
 // first after an outage of the store.
-Test(herd, theFirstToComeBackAfterALapseGetsItsShare)
+Test(thunderingHerd, theFirstToReregisterAfterAnOutageGetsItsShare)
 {
-    Daemons30 fleet;
+    DaemonGroup fleet;
     (void)fleet.open(20);
     for (const auto &daemon : fleet.daemons) {
         for (std::uint64_t id = 1; id <= Targets; ++id)
@@ -72,9 +72,9 @@
 
 // Guards against lapsed targets that go on to get flows once most registrations are back: those
 // that are missing then are likely gone.
-Test(herd, lapsedTargetsGetNothingOnceMostAreBack)
+Test(thunderingHerd, lapsedTargetsGetNothingOnceMostAreBack)
 {
-    Daemons30 fleet;
+    DaemonGroup fleet;
     (void)fleet.open(5);
     for (const auto &daemon : fleet.daemons) {
         for (std::uint64_t id = 1; id <= Targets; ++id)
