--- a/tests/direct/probe_test.cpp
+++ b/tests/direct/probe_test.cpp
@@ -124,7 +124,7 @@
     constexpr std::uint64_t count = 20;
     ProbedFleet fleet{count};
     fleet.add(count + 1, "alx-agami");
-    const auto unreachable = [](TargetId id) {
+    const auto outcomeOf = [](TargetId id) {
         return id.value() <= count / 2 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
     };
     for (std::uint16_t caller = 0; caller < 12; ++caller)
@@ -132,7 +132,7 @@
     fleet.now += 200ms;
     for (std::uint16_t caller = 0; caller < 12; ++caller)
         (void)fleet.open(caller, 1);
-    (void)fleet.probe(unreachable);
+    (void)fleet.probe(outcomeOf);
     for (std::uint64_t id = 1; id <= count; ++id) {
         const bool suspect = fleet.state(TargetId{id}) == DirectTargetState::Suspect;
         cr_assert_eq(suspect, id <= count / 2, "target %lu", id);
@@ -147,11 +147,11 @@
     const DeliverSegment placed = fleet.establish(1);
     (void)fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1));
     fleet.now += 200ms;
-    const Segment again = DirectFleet::data(1, placed.label, 0, 100, 1);
-    cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
+    const Segment retransmission = DirectFleet::data(1, placed.label, 0, 100, 1);
+    cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(retransmission)));
     (void)fleet.probe(ProbeOutcome::TimedOut);
     fleet.now += 400ms;
-    cr_assert(std::holds_alternative<AbortFlow>(fleet.route(again)));
+    cr_assert(std::holds_alternative<AbortFlow>(fleet.route(retransmission)));
     cr_assert(fleet.causes.back() == SegmentCause::TargetGone);
 }
 
@@ -164,10 +164,10 @@
         ProbedFleet fleet{1};
         const DeliverSegment placed = fleet.establish(1);
         (void)fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1));
-        const Segment again = DirectFleet::data(1, placed.label, 0, 100, 1);
+        const Segment retransmission = DirectFleet::data(1, placed.label, 0, 100, 1);
         for (int repeat = 0; repeat < 6; ++repeat) {
             fleet.now += 400ms;
-            cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
+            cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(retransmission)));
             for (const ProbeRequest &probe : fleet.router().takeProbes())
                 fleet.router().probed(probe, outcome, fleet.now);
         }
@@ -175,15 +175,15 @@
     ProbedFleet fleet{1};
     const DeliverSegment placed = fleet.establish(1);
     (void)fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1));
-    const Segment again = DirectFleet::data(1, placed.label, 0, 100, 1);
+    const Segment retransmission = DirectFleet::data(1, placed.label, 0, 100, 1);
     fleet.now += 200ms;
-    (void)fleet.route(again);
+    (void)fleet.route(retransmission);
     int probes = 0; // The first fails by chance, the second finds the target.
     (void)fleet.probe([&probes](TargetId) {
         return probes++ == 0 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
     });
     fleet.now += 400ms;
-    cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(again)));
+    cr_assert(std::holds_alternative<DeliverSegment>(fleet.route(retransmission)));
     cr_assert(fleet.state(placed.target) == DirectTargetState::Healthy);
 }
 
