--- a/tests/direct/evacuation_test.cpp
+++ b/tests/direct/evacuation_test.cpp
@@ -86,9 +86,9 @@
     fleet.add(2, There);
     for (std::uint16_t caller = 0; caller < 20; ++caller)
         cr_assert(fleet.open(caller).target == TargetId{2});
-    RegisteredTarget again = DirectFleet::target(1, Here);
-    again.startedAt.emplace(std::chrono::milliseconds{5});
-    fleet.router().putTarget(again, fleet.now);
+    RegisteredTarget restarted = DirectFleet::target(1, Here);
+    restarted.startedAt.emplace(std::chrono::milliseconds{5});
+    fleet.router().putTarget(restarted, fleet.now);
     cr_assert(fleet.open(20).target == TargetId{2});
     cr_assert(fleet.router().setEvacuated(Here, false, fleet.now));
     cr_assert(fleet.open(21).target == TargetId{1});
