--- a/tests/direct/cold_test.cpp
+++ b/tests/direct/cold_test.cpp
@@ -23,8 +23,8 @@
     return routes;
 }
 
-/// \brief Daemons with one cold and, unless told otherwise, one warm target. What all of them open
-/// at the cold one is counted together.
+/// \brief Daemons with one cold and, unless \a withWarm is false, one warm target. Counts the flows
+/// that all of them open at the cold target.
 class ColdFleet
 {
 public:
@@ -56,7 +56,7 @@
         m_daemons[index]->router().setColdOwners(m_owners, isOwner, now);
     }
 
-    /// \brief One daemon opens a flow.
+    /// \brief Opens a flow at one daemon.
     void open(std::size_t index)
     {
         DirectFleet &daemon = *m_daemons[index];
@@ -65,7 +65,7 @@
             m_atCold.push_back(now);
     }
 
-    /// \return Most flows at the cold target in any span of a second.
+    /// \return Maximum number of flows at the cold target in any window of one second.
     [[nodiscard]] std::size_t maxWithinASecond() const
     {
         std::size_t most = 0;
@@ -88,7 +88,7 @@
     std::vector<TimePoint> m_atCold;
 };
 
-/// \brief 1,500 new flows a second at chance daemons, for ten seconds.
+/// \brief Opens 1,500 flows a second at random daemons, for ten seconds.
 template <typename EachStep>
 void openRandomly(ColdFleet &fleet, std::size_t size, std::uint64_t seed, EachStep eachStep)
 {
@@ -103,7 +103,7 @@
 
 } // namespace
 
-// Guards against many daemons that each open little at a cold target, and together too much.
+// Guards against many daemons that each open few flows at a cold target, and together too many.
 Test(cold, allDaemonsTogetherKeepToTheBound)
 {
     for (const std::size_t size : {8U, 90U, 630U}) {
@@ -115,8 +115,8 @@
     }
 }
 
-// Guards against daemons that forget what they opened a moment before, as they start anew, and
-// against two sets of owners while settings change.
+// Guards against daemons that exceed the bound as they lose their counts in a restart, and against
+// two sets of owners that are active while settings change.
 Test(cold, restartsAndChangedOwnersKeepToTheBound)
 {
     constexpr std::size_t size = 8;
@@ -129,15 +129,14 @@
                 return;
             for (const std::size_t index : {3U, 4U, 5U})
                 fleet.setOwner(index,
-                               true); // These have read the new settings, the others have not.
+                               true); // These have read the new settings, the others haven't.
         });
         cr_assert_leq(fleet.maxWithinASecond(), PerSecond, "seed %lu: %zu", seed,
                       fleet.maxWithinASecond());
     }
 }
 
-// Guards against the bound being given up where no warm target is left: what it does not allow is
-// refused at once.
+// Guards against flows beyond the bound where no warm target is left: they are refused at once.
 Test(cold, withoutAWarmTargetTheBoundHoldsToo)
 {
     ColdFleet fleet{90, 3, false};
@@ -146,7 +145,7 @@
     cr_assert_gt(fleet.atCold(), 0U);
 }
 
-// Guards against a failure domain whose targets have become cold unseen while it was evacuated.
+// Guards against a failure domain whose targets have become cold unnoticed while it was evacuated.
 Test(cold, theEndOfAnEvacuationCountsAsAStart)
 {
     DirectFleet fleet;
@@ -161,7 +160,7 @@
     cr_assert(fleet.open(100).target == TargetId{1});
 }
 
-// Guards against a change where no bound is stated: cold targets get flows like the others.
+// Guards against a limit where the service states none: its cold targets get flows like warm ones.
 Test(cold, withoutAStatedBoundNothingIsBounded)
 {
     DirectFleet fleet;
--- a/tests/direct/evacuation_test.cpp
+++ b/tests/direct/evacuation_test.cpp
@@ -11,7 +11,7 @@
 constexpr const char *Here = "alx-raml";
 constexpr const char *There = "alx-agami";
 
-/// \brief Targets 1 and 2 in the daemon's own failure domain, 3 in another one.
+/// \brief Targets 1 and 2 in the local failure domain, 3 in another one.
 struct ThreeTargets : DirectFleet
 {
     ThreeTargets()
@@ -24,7 +24,8 @@
 
 } // namespace
 
-// Guards against new flows in an evacuated domain where the others are busy, suspect or lapsed.
+// Guards against new flows in an evacuated domain while all other targets are busy, suspect or
+// lapsed.
 Test(evacuation, noNewFlowGoesThereWhateverTheOthersAre)
 {
     ThreeTargets fleet;
@@ -42,7 +43,7 @@
     cr_assert(fleet.open(++caller).target == TargetId{3});
 }
 
-// Guards against callers that wait though nobody will serve them.
+// Guards against callers that wait although no target can serve them.
 Test(evacuation, aServiceWithoutTargetsElsewhereIsRefusedAtOnce)
 {
     ThreeTargets fleet;
@@ -52,7 +53,7 @@
     cr_assert(fleet.causes.back() == SegmentCause::NoTarget);
 }
 
-// Guards against open flows that an evacuation breaks or moves.
+// Guards against an evacuation that breaks or moves open flows.
 Test(evacuation, openFlowsStay)
 {
     ThreeTargets fleet;
@@ -67,7 +68,7 @@
     }
 }
 
-// Guards against an opening that comes again and goes to the evacuated target of its first copy.
+// Guards against a retransmitted opening that goes to its former target, which is evacuated since.
 Test(evacuation, aRetransmittedOpeningMoves)
 {
     ThreeTargets fleet;
@@ -77,7 +78,7 @@
     cr_assert(fleet.open(1, 1).target == TargetId{3});
 }
 
-// Guards against a target that registers, or starts again, during the evacuation and gets flows.
+// Guards against flows for a target that registers, or restarts, during the evacuation.
 Test(evacuation, targetsThatRegisterMeanwhileGetNone)
 {
     DirectFleet fleet;
--- a/tests/direct/label_test.cpp
+++ b/tests/direct/label_test.cpp
@@ -4,6 +4,7 @@
 
 using namespace baobabtrail;
 
+// Guards against targets without a label, and against labels that lead to another target.
 Test(labels, everyTargetHasALabelOfItsOwn)
 {
     LabelTable table;
@@ -21,11 +22,12 @@
     cr_assert_eq(without, 0);
 }
 
-// Two targets share a fingerprint, and this daemon knows only one of them when it writes the label.
-// Another daemon, which knows both, must not guess: a wrong target would reset the flow.
+// Guards against a flow at the wrong target, which resets it. Two targets share a hash; the daemon
+// that writes the label knows only one of them, and another daemon, which knows both, must not
+// guess.
 Test(labels, aLabelOfTwoTargetsIsNotResolved)
 {
-    // Found by trying: the first pair of ids whose first fingerprints are the same.
+    // The first pair of ids whose first hashes collide, found by search.
     LabelTable table;
     std::unordered_map<FlowLabel, std::uint64_t> seen;
     std::uint64_t first = 0;
--- a/tests/direct/probe_test.cpp
+++ b/tests/direct/probe_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \brief Targets whose machines answer connections, unless they are dark.
+/// \brief Targets that are probed by connections.
 struct ProbedFleet : DirectFleet
 {
     explicit ProbedFleet(std::uint64_t count)
@@ -18,7 +18,8 @@
             add(id);
     }
 
-    /// \return Probes that were made, each with the outcome \a outcomeOf gives for its target.
+    /// \brief Runs the probes that are due, each with the outcome \a outcomeOf gives for its
+    /// target. \return Number of probes.
     std::size_t probe(const std::function<ProbeOutcome(TargetId)> &outcomeOf)
     {
         std::size_t count = 0;
@@ -39,7 +40,7 @@
         return router().targets().state(*router().targets().find(id));
     }
 
-    /// \brief Opens a flow whose target says nothing, and sends the first segment again.
+    /// \brief Opens a flow whose target doesn't answer, and retransmits the opening segment.
     TargetId openUnanswered(std::uint16_t caller)
     {
         const TargetId target = open(caller).target;
@@ -51,7 +52,7 @@
 
 } // namespace
 
-// Guards against new flows for a target whose machine answers and takes no connections.
+// Guards against new flows for a target whose host answers but refuses connections.
 Test(probes, aTargetThatRefusesConnectionsGetsNoNewFlow)
 {
     ProbedFleet fleet{2};
@@ -62,7 +63,7 @@
         cr_assert(fleet.open(caller).target != full);
 }
 
-// Guards against seconds in which callers find out one by one that a target is dark.
+// Guards against seconds in which one caller after the other detects that a target is unreachable.
 Test(probes, oneUnansweredOpeningIsEnoughForAnUnreachableTarget)
 {
     ProbedFleet fleet{2};
@@ -75,7 +76,7 @@
         cr_assert(fleet.open(caller).target != unreachable);
 }
 
-// Guards against callers that are spent on finding out whether a dark target is back.
+// Guards against callers whose flows have to detect whether an unreachable target is back.
 Test(probes, onlyAProbeRestoresAnUnreachableTarget)
 {
     ProbedFleet fleet{2};
@@ -100,8 +101,8 @@
     cr_assert(fleet.state(unreachable) == DirectTargetState::Suspect);
 }
 
-// Guards against an address that answers connections since another target has taken it: flows to
-// the one that is gone would be lost there.
+// Guards against flows that are lost at an address that accepts connections since another target
+// has taken it over.
 Test(probes, anAddressThatAnswersAgainGetsOneTrialFlow)
 {
     ProbedFleet fleet{2};
@@ -118,7 +119,7 @@
     cr_assert(fleet.state(unreachable) == DirectTargetState::Healthy);
 }
 
-// Guards against a failure domain that goes dark, and whose targets are found out one by one.
+// Guards against an unreachable failure domain whose targets are detected one by one.
 Test(probes, severalSilentTargetsHaveTheirDomainProbed)
 {
     constexpr std::uint64_t count = 20;
@@ -140,7 +141,7 @@
     cr_assert(fleet.state(TargetId{count + 1}) == DirectTargetState::Healthy);
 }
 
-// Guards against callers on open flows of a dark target that wait until their time is up.
+// Guards against callers on open flows of an unreachable target that wait until their timeout.
 Test(probes, aFlowOfAnUnreachableTargetIsResetOnceItsCallerRetransmits)
 {
     ProbedFleet fleet{1};
@@ -155,8 +156,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::TargetGone);
 }
 
-// Guards against an open flow that is ended though its target lives: it is slow or overloaded, full
-// and takes no more connections, a packet of the probe was lost, or this daemon stood still.
+// Guards against resets of open flows whose target is alive: it is slow or overloaded, it is full
+// and refuses connections, a packet of the probe was lost, or this daemon stalled.
 Test(probes, aFlowOfALiveTargetIsNeverReset)
 {
     for (const ProbeOutcome outcome :
@@ -178,7 +179,7 @@
     const Segment retransmission = DirectFleet::data(1, placed.label, 0, 100, 1);
     fleet.now += 200ms;
     (void)fleet.route(retransmission);
-    int probes = 0; // The first fails by chance, the second finds the target.
+    int probes = 0; // The first one fails by a lost packet, the second one succeeds.
     (void)fleet.probe([&probes](TargetId) {
         return probes++ == 0 ? ProbeOutcome::TimedOut : ProbeOutcome::Alive;
     });
@@ -187,15 +188,16 @@
     cr_assert(fleet.state(placed.target) == DirectTargetState::Healthy);
 }
 
-// Guards against a domain of a thousand targets whose probes take half a minute: what callers wait
-// for is tried first, and one target that is back brings the others back.
+// Guards against a domain of a thousand targets whose probes take half a minute: targets that
+// callers wait for are probed first, and one recovered target makes the others due for a trial
+// flow.
 Test(probes, aLargeDomainThatReturnsIsUsedAtOnce)
 {
     constexpr std::uint64_t count = 1000;
     ProbedFleet fleet{count};
     for (std::uint16_t caller = 0; caller < 400; ++caller) {
         (void)fleet.openUnanswered(caller);
-        for (const ProbeRequest &probe : fleet.router().takeProbes()) // 16 at once, and no more.
+        for (const ProbeRequest &probe : fleet.router().takeProbes()) // At most 16 at once.
             fleet.router().probed(probe, ProbeOutcome::TimedOut, fleet.now);
         fleet.expire();
     }
@@ -215,8 +217,8 @@
     cr_assert_leq(silent, 1U, "%zu", silent);
 }
 
-// Guards against a target that is doubted since this daemon was late itself: both copies of an
-// opening waited here, and went on together.
+// Guards against a probe without cause: this daemon was late itself, so that an opening and its
+// retransmission waited here and were forwarded together.
 Test(probes, delayedRetransmissionsAreNoEvidence)
 {
     ProbedFleet fleet{1};
@@ -225,7 +227,7 @@
     cr_assert_eq(fleet.probe(ProbeOutcome::TimedOut), 0U);
 }
 
-// Guards against a sign of life that does not end what probes said.
+// Guards against a suspicion from probes that a response on an open flow doesn't end.
 Test(probes, aResponseEndsTheSuspicion)
 {
     ProbedFleet fleet{1};
--- a/tests/direct/router_faults_test.cpp
+++ b/tests/direct/router_faults_test.cpp
@@ -6,9 +6,10 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// A target's answer to the opening segment is lost; the caller sends it again after 200 ms.
-// A second target that answers as well would take the flow's label over, and the first one's
-// packets would go astray; so it goes to the same target while that is not known to be silent.
+// Guards against two targets on one flow. An answer to the opening is lost, and the caller
+// retransmits after 200 ms; a second target that answers would take over the flow's label, and
+// segments for the first one would go astray. The opening moves only from a target known to be
+// silent.
 Test(directRouter, aRetransmittedOpeningGoesToTheSameTarget)
 {
     DirectFleet fleet;
@@ -21,8 +22,8 @@
     }
 }
 
-// A target dies without a word. Two callers get no answer to their openings.
-// The third copy of each must not go there again, nor any new flow, until it gives a sign of life.
+// Guards against flows for a target that has crashed: after two callers got no answer to their
+// openings, neither the third transmission of these nor any new flow goes there until it responds.
 Test(directRouter, aSilentTargetGetsNoMoreFlows)
 {
     DirectFleet fleet;
@@ -48,7 +49,8 @@
         cr_assert(fleet.open(next).target == TargetId{2});
 }
 
-// A path heals: a suspect gets one flow now and then, and its answer ends the suspicion.
+// Guards against a target that stays suspect after its network path has recovered: it gets a trial
+// flow at intervals, and its answer ends the suspicion.
 Test(directRouter, aSuspectGetsTrialFlows)
 {
     DirectSettings settings;
@@ -71,9 +73,9 @@
     cr_assert(fleet.beliefs.back() == DirectTargetState::Healthy);
 }
 
-// A target crashes; its registration goes a few seconds later. A caller with an open flow sends
-// its request again and again. Once the target is known to be gone, the flow is ended, so that the
-// caller asks anew instead of waiting until its time is up.
+// Guards against callers that wait until their timeout. A target crashes, and its registration
+// expires a few seconds later; a caller retransmits its request meanwhile. Once the target is known
+// to be gone, the flow is reset, so that the caller can retry.
 Test(directRouter, flowsOfAGoneTargetThatIsSilentAreReset)
 {
     DirectFleet fleet;
@@ -89,8 +91,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::TargetGone);
 }
 
-// An upload of many packets is under way to a target that leaves; some packets overtake others.
-// The flow must not be ended: nothing was sent again, and the target takes it all.
+// Guards against reordered packets that count as retransmissions: they would reset the flow of an
+// upload to a target that is leaving and receives every packet.
 Test(directRouter, reorderedPacketsAreNoRetransmissions)
 {
     DirectFleet fleet;
@@ -105,7 +107,7 @@
     }
 }
 
-// A target leaves the list but still answers (it drained and finishes): its flow goes on.
+// Guards against resets of flows whose target was deregistered but still answers, as after a drain.
 Test(directRouter, flowsOfAGoneTargetThatAnswersGoOn)
 {
     DirectFleet fleet;
@@ -119,8 +121,9 @@
     }
 }
 
-// Registrations lapse while the store is away, and the targets live: they come back within two
-// seconds of its return. Until then they serve where nothing else does; afterwards they are gone.
+// Guards against refusals during a store outage, when registrations lapse while the targets are
+// alive. Lapsed targets serve where no other does; live ones re-register within two seconds of the
+// store's return, and the others are gone afterwards.
 Test(directRouter, aLapsedTargetIsTheLastResort)
 {
     DirectFleet fleet;
@@ -136,8 +139,8 @@
     cr_assert(isAbort(fleet.route(DirectFleet::opening(30))));
 }
 
-// A target's address goes to another service after it has ended. Its old id must never lead
-// a segment there under the new target's name, nor the other way round.
+// Guards against segments at the wrong service: the address of a former target is reused by a
+// target of another service. Neither target's id may lead a segment to the other one.
 Test(directRouter, aReusedAddressIsAnotherTarget)
 {
     DirectFleet fleet;
@@ -153,9 +156,9 @@
     cr_assert(isAbort(fleet.route(DirectFleet::opening(2))), "never placed at another service");
 }
 
-// A target crashes and starts again under its id before its registration lapses. Its flows are
-// gone, yet their requests would count as load there until they are forgotten, and the silence of
-// the crash would keep new flows away from a target that is empty.
+// Guards against load and suspicion that outlive a restart: a target crashes and restarts under the
+// same id before its registration expires. Its flows are gone, yet their requests would count as
+// load until they are evicted, and the suspicion would keep new flows away from an idle target.
 Test(directRouter, aRestartedTargetBeginsWithoutLoadOrSuspicion)
 {
     DirectFleet fleet;
@@ -172,7 +175,7 @@
     cr_assert(target.openFlows == 1 && target.inFlight == 1 && target.opening == 1);
     cr_assert(fleet.router().targets().state(target) == DirectTargetState::Suspect);
 
-    fleet.router().putTarget(entry, fleet.now); // Only a newer report of the same life.
+    fleet.router().putTarget(entry, fleet.now); // Same incarnation, only newer.
     cr_assert(target.openFlows == 1 && target.inFlight == 1);
 
     entry.startedAt.emplace(5000ms);
@@ -180,8 +183,8 @@
     cr_assert(target.openFlows == 0 && target.inFlight == 0 && target.opening == 0);
     cr_assert(fleet.router().targets().state(target) == DirectTargetState::Healthy);
 
-    // The caller's packets still go there: the target itself tells the caller that its flow is
-    // gone. Neither they nor the end of the old flows count.
+    // The caller's packets are still forwarded, as the target itself resets the flow. Neither they
+    // nor the end of the old flows count as load.
     cr_assert(targetOf(fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1))) == TargetId{1});
     cr_assert(target.openFlows == 0 && target.inFlight == 0);
     fleet.now += 20s;
@@ -189,8 +192,8 @@
     cr_assert(target.openFlows == 0 && target.inFlight == 0 && target.opening == 0);
 }
 
-// A registration is replaced by one that can't be read, or moves to another service. New flows
-// must not go there; an open one stays, since its target may live on.
+// Guards against new flows for a target whose registration became unreadable or moved to another
+// service. Open flows stay, since the target may be alive.
 Test(directRouter, anUnreadableRegistrationGetsNoNewFlow)
 {
     DirectFleet fleet;
--- a/tests/direct/router_held_test.cpp
+++ b/tests/direct/router_held_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \brief A fleet of one target whose answers take 90% of the latency that its route promises.
+/// \brief A router with one saturated target, whose answers take 90% of the promised latency.
 struct SaturatedFleet
 {
     SaturatedFleet()
@@ -28,7 +28,7 @@
         (void)sendRequest(Busy);
     }
 
-    /// The caller whose request is at the target.
+    /// Caller whose request is in flight.
     static constexpr std::uint16_t Busy = 30;
     static constexpr std::uint16_t Waiting = 31;
 
@@ -57,8 +57,8 @@
 
 } // namespace
 
-// A request waits for its saturated target. What its caller sends again meanwhile is no second
-// request, and no sign of a silent target; when an answer passes, the request goes on.
+// Guards against retransmissions of a held request that count as a second request or as a sign of a
+// silent target. The request is forwarded when an answer of its target is acknowledged.
 Test(directRouter, aHeldRequestIsForwardedAfterTheNextAnswer)
 {
     SaturatedFleet saturated;
@@ -80,8 +80,8 @@
     cr_assert(target.held == 0 && target.inFlight == 1);
 }
 
-// The caller of a request that waits gives up. The request must never reach the target: its caller
-// may ask again elsewhere, and has been told nothing.
+// Guards against a request that runs twice: the caller of a held request aborts and may retry
+// elsewhere, so the held one must never reach the target.
 Test(directRouter, aHeldRequestIsDroppedWithItsCaller)
 {
     SaturatedFleet saturated;
@@ -95,8 +95,7 @@
     cr_assert_eq(fleet.router().gate().held(), 0);
 }
 
-// A target falls silent while requests wait for it, or the daemon is told to stop. Nobody would
-// ever let them go.
+// Guards against requests that are held for ever, as their target falls silent or the daemon stops.
 Test(directRouter, nothingIsHeldForASilentTargetOrByAStoppedDaemon)
 {
     SaturatedFleet silent;
@@ -120,8 +119,8 @@
     cr_assert(!isHeld(stopped.sendRequest(32)));
 }
 
-// A request waits until no answer could reach its caller in time. It is given up with a line in
-// the log, and never runs for nobody.
+// Guards against a request that runs although no answer can reach its caller in time: it is
+// abandoned, and the log says so.
 Test(directRouter, aHeldRequestIsAbandonedWhenNoAnswerCanBeInTime)
 {
     SaturatedFleet saturated;
@@ -134,8 +133,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::Abandoned);
 }
 
-// The flow of a request goes through another daemon for a while. What its caller acknowledges when
-// it is back answers another request; taken for this one's, a target seemed to need seconds.
+// Guards against answer times of seconds that never were. A flow goes through another daemon for a
+// while; what its caller acknowledges afterwards is the answer to another request.
 Test(directRouter, answersToRequestsOfOtherDaemonsAreNotMeasured)
 {
     DirectFleet fleet;
--- a/tests/direct/router_test.cpp
+++ b/tests/direct/router_test.cpp
@@ -8,6 +8,7 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
+// Guards against segments of a flow that are spread over several targets.
 Test(directRouter, aFlowStaysAtItsTarget)
 {
     DirectFleet fleet;
@@ -20,9 +21,8 @@
                   == placed.target);
 }
 
-// A daemon is killed and replaced, or the packets of a flow reach another daemon.
-// That daemon has never seen the flow; the label alone must lead to the flow's target, or the
-// caller's feed breaks although nothing happened to its target.
+// Guards against flows that break when a daemon is killed and replaced, or when their packets reach
+// another daemon, which has never seen them: the label alone must lead to the flow's target.
 Test(directRouter, anotherDaemonFindsTheTargetByTheLabel)
 {
     DirectFleet first{{}, 1};
@@ -38,8 +38,8 @@
     }
 }
 
-// A flow's target is not known here: the registration is on its way, or the label is damaged.
-// Silence lets the caller send again; a reset would break a flow that lives.
+// Guards against the reset of a live flow whose label is unknown here, as the registration has not
+// arrived yet or the label is damaged. The segment is dropped, and the caller retransmits.
 Test(directRouter, anUnknownLabelIsNeverReset)
 {
     DirectFleet fleet;
@@ -48,7 +48,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::UnknownLabel);
 }
 
-// The operator drains a target. Its open flows go on; from then on no new flow may reach it.
+// Guards against new flows for a target that the operator drains, and against the loss of its open
+// ones.
 Test(directRouter, aDrainingTargetKeepsItsFlowsAndGetsNoNewOne)
 {
     DirectFleet fleet;
@@ -63,8 +64,8 @@
     cr_assert(targetOf(fleet.route(DirectFleet::data(1, placed.label, 0, 100, 1))) == TargetId{1});
 }
 
-// Every target of a service drains: a caller who wants to open a flow can't be served.
-// It has to be told at once instead of running into its time limit.
+// Guards against callers that wait until their timeout where a service has no target that takes
+// flows, for example as all of them drain: they are reset at once.
 Test(directRouter, withoutAnyTargetTheCallerIsResetAtOnce)
 {
     DirectFleet fleet;
@@ -72,8 +73,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::NoTarget);
 }
 
-// A new route reaches this daemon late: a caller opens a flow at an address that is unknown here.
-// While the view may be out of date the caller must not be told that nobody serves it.
+// Guards against the reset of a flow to a new route that this daemon doesn't know yet: while the
+// directory may be out of date, openings to unknown addresses are dropped.
 Test(directRouter, aStaleViewResetsNoFlow)
 {
     DirectFleet fleet;
@@ -86,8 +87,8 @@
     cr_assert(fleet.causes.back() == SegmentCause::NoRoute);
 }
 
-// The operator removes a route while flows are open on it: they are ended at once, and open
-// again once the route is back.
+// Guards against open flows that outlive their route: they are reset at once when the operator
+// removes it, and new ones open when the route is back.
 Test(directRouter, aRemovedRouteResetsItsFlows)
 {
     DirectFleet fleet;
@@ -99,6 +100,7 @@
     cr_assert(fleet.open(2).target == TargetId{1});
 }
 
+// Guards against traffic between failure domains while local targets have room.
 Test(directRouter, theLocalFailureDomainIsPreferred)
 {
     DirectFleet fleet;
@@ -110,8 +112,8 @@
         cr_assert_leq(fleet.establish(caller).target.value(), 4);
 }
 
-// A burst: more requests are in flight at the own domain's targets than they have slots.
-// New flows spill over to the others, and come back once the burst is over.
+// Guards against overload of the local domain: in a burst, more requests are in flight at its
+// targets than they have slots. New flows spill over to other domains, and return after the burst.
 Test(directRouter, aBusyDomainSpillsOver)
 {
     DirectFleet fleet;
@@ -132,6 +134,7 @@
     cr_assert(fleet.open(100).target == TargetId{1});
 }
 
+// Guards against uneven load among equal targets.
 Test(directRouter, flowsAreSpreadEvenly)
 {
     DirectFleet fleet;
@@ -144,7 +147,7 @@
         cr_assert(count >= 90 && count <= 110, "%d flows", count);
 }
 
-/// \brief Lets the requests that are due end, with their flows.
+/// \brief Answers the requests that are due, and closes their flows.
 static void
 endDueRequests(DirectFleet &fleet,
                std::multimap<TimePoint, std::pair<std::uint16_t, DeliverSegment>> &running)
@@ -159,8 +162,8 @@
     }
 }
 
-// One of three targets turns slow: each of its requests takes five times as long.
-// It gets clearly fewer flows than its share for as long as its answers are slow.
+// Guards against a full share of flows for a slow target: one of three takes five times as long for
+// each request, and gets clearly fewer flows as long as its answers are slow.
 Test(directRouter, aSlowTargetGetsFewerFlows)
 {
     DirectFleet fleet;
@@ -180,10 +183,10 @@
     cr_assert_lt(flows[TargetId{2}], 100, "%d of 600", flows[TargetId{2}]);
 }
 
-// A target answers slowly once, ten times as long as the others, and is well from then on. Each
-// flow is one request, so that nothing but a new flow could show it. What was learnt fades, and it
-// has its part of the work again; if it did not, the others would go on alone with three requests
-// at a time.
+// Guards against a target that gets no flows for ever after one slow answer, ten times as long as
+// those of the others. Each flow is one request, so that only a new flow can show the recovery; as
+// the measured slowness decays, the target gets its share again. Without the decay, the others
+// would go on alone with three requests at a time.
 Test(directRouter, aTargetThatWasSlowOnceRecovers)
 {
     constexpr int callers = 600;
@@ -211,6 +214,7 @@
     }
 }
 
+// Guards against memory that grows with the number of flows, and against counters that leak.
 Test(directRouter, trackedFlowsAreBounded)
 {
     DirectSettings settings;
@@ -227,8 +231,8 @@
         cr_assert(target.openFlows == 0 && target.inFlight == 0 && target.opening == 0);
 }
 
-// A route's flows are split between two services by weight. A first segment that comes again, or
-// reaches another daemon, has to find the same service.
+// Guards against an opening that changes its service when it is retransmitted or reaches another
+// daemon, on a route that is split between two services by weight.
 Test(directRouter, sharesOfARouteAreChosenByFlow)
 {
     const ServiceId other = serviceId("other", "other");
@@ -250,8 +254,8 @@
     cr_assert(atOther > 60 && atOther < 140, "%d of 1000", atOther);
 }
 
-// Guards against a request that no longer counts as work while its caller still waits, or that
-// counts on long after its caller has given up: the route's own timeout decides.
+// Guards against a request that ceases to count as load while its caller still waits, or that
+// counts long after its caller has timed out: the timeout of the route decides.
 Test(directRouter, aRequestCountsAsWorkUntilItsRoutesTimeout)
 {
     for (const Duration timeout : {6s, 12s}) {
--- a/tests/direct/thundering_herd_test.cpp
+++ b/tests/direct/thundering_herd_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t Targets = 40;
 constexpr std::size_t Daemons = 30;
 
-/// \brief The daemons of a failure domain with its targets, each blind to the others' flows.
+/// \brief The daemons of a failure domain with its targets; none sees the flows of the others.
 struct DaemonGroup
 {
     explicit DaemonGroup(const DirectSettings &settings = {})
@@ -25,7 +25,8 @@
         }
     }
 
-    /// \brief Each daemon opens so many flows, which are accepted. \return Flows by target.
+    /// \brief Opens and establishes \a flows flows at each daemon.
+    /// \return Number of flows by target.
     std::map<std::uint64_t, std::size_t> open(std::uint16_t flows)
     {
         std::map<std::uint64_t, std::size_t> placed;
@@ -53,8 +54,8 @@
 
 } // namespace
 
-// Guards against all daemons that send every new flow to the one target whose registration is back
-// first after an outage of the store.
+// Guards against a thundering herd: after a store outage, all daemons send every new flow to the
+// first target that re-registers.
 Test(thunderingHerd, theFirstToReregisterAfterAnOutageGetsItsShare)
 {
     DaemonGroup fleet;
@@ -70,7 +71,7 @@
     cr_assert_leq(most(placed), 4 * share, "%zu where an even share is %zu", most(placed), share);
 }
 
-// Guards against lapsed targets that go on to get flows once most registrations are back: those
+// Guards against lapsed targets that still get flows once most targets have re-registered: those
 // that are missing then are likely gone.
 Test(thunderingHerd, lapsedTargetsGetNothingOnceMostAreBack)
 {
