--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -181,8 +181,8 @@
     /// \brief Reports the outcome of a probe; to be called once for each.
     void probed(const ProbeRequest &probe, ProbeOutcome outcome, TimePoint now);
 
-    /// \brief Evicts idle flows and, as the store confirms them, vanished targets; to be called
-    /// about once a second.
+    /// \brief Evicts idle flows and former targets; to be called about once a second.
+    /// \param store Decides when a lapsed target counts as gone.
     void expire(TimePoint now, const StoreStatus &store);
 
     [[nodiscard]] std::size_t flows() const noexcept { return m_flows.size(); }
