--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -82,7 +82,7 @@
         ports.observer.saturated = [this, index, now](const SaturationChange &change) {
             m_logs[index]->write(change, *cluster.node(index), now());
         };
-        ports.observer.measured = [this, index, now](const FlowMeasured &measured) {
+        ports.observer.measured = [this, index, now](const FlowMeasurement &measured) {
             m_logs[index]->write(measured, *cluster.node(index), now());
         };
         ports.onNotice
