--- a/src/core/direct/direct_node.cpp
+++ b/src/core/direct/direct_node.cpp
@@ -51,20 +51,20 @@
     node.m_relay.add(prefix, copy);
 }
 
-DirectNode::DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks ports,
-                       std::uint64_t seed)
+DirectNode::DirectNode(PeerIdentity identity, DirectNodeSettings settings,
+                       DirectCallbacks callbacks, std::uint64_t seed)
     : m_identity(std::move(identity))
     , m_settings(settings)
-    , m_callbacks(std::move(ports))
+    , m_callbacks(std::move(callbacks))
     , m_random(seed)
     , m_router(m_identity.domain, settings.flows, m_random, m_callbacks.observer)
     , m_held(settings.flows.overload.maxHeldBytes)
-    , m_relay(m_identity.domain, settings.relay, relayPorts())
+    , m_relay(m_identity.domain, settings.relay, relayCallbacks())
     , m_routes(*this, "routes", RoutesPrefix, &DirectNode::applyRoutes)
     , m_targets(*this, "targets", TargetsPrefix, &DirectNode::applyTargets)
     , m_evacuations(*this, "evacuations", EvacuationsPrefix, &DirectNode::applyEvacuations,
                     Confirmation::ByWatch)
-    , m_peers(m_settings.peers, m_identity, peerPorts(), m_random,
+    , m_peers(m_settings.peers, m_identity, peerCallbacks(), m_random,
               {shared(m_routes), shared(m_targets), shared(m_evacuations)}, peerHandlers())
 {
     m_router.setProbing(static_cast<bool>(m_callbacks.probe));
--- a/src/core/direct/direct_node.h
+++ b/src/core/direct/direct_node.h
@@ -137,7 +137,7 @@
 public:
     /// \param identity Failure domain of this daemon, and the address at which it answers others.
     /// \param seed Seed of all random choices.
-    DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks ports,
+    DirectNode(PeerIdentity identity, DirectNodeSettings settings, DirectCallbacks callbacks,
                std::uint64_t seed);
     ~DirectNode();
     DirectNode(const DirectNode &) = delete;
@@ -230,8 +230,8 @@
     /// \brief The peers have answered a query. \param changed Whether a copy has changed.
     void onPeersAnswered(bool changed);
     void notifyFollowers();
-    [[nodiscard]] ViewRelay::Callbacks relayPorts();
-    [[nodiscard]] PeerFeedCallbacks peerPorts();
+    [[nodiscard]] ViewRelay::Callbacks relayCallbacks();
+    [[nodiscard]] PeerFeedCallbacks peerCallbacks();
     [[nodiscard]] PeerFeedHandlers peerHandlers();
     [[nodiscard]] bool hasCopies() const noexcept;
     [[nodiscard]] bool storeConnected() const noexcept
--- a/src/core/direct/direct_node_directory.cpp
+++ b/src/core/direct/direct_node_directory.cpp
@@ -140,11 +140,11 @@
             }};
 }
 
-PeerFeedCallbacks DirectNode::peerPorts()
+PeerFeedCallbacks DirectNode::peerCallbacks()
 {
-    PeerFeedCallbacks ports = m_callbacks.peers;
-    ports.ended = [this](const QueryReport &end) { notice(PeerQueryEnded{end}); };
-    return ports;
+    PeerFeedCallbacks callbacks = m_callbacks.peers;
+    callbacks.ended = [this](const QueryReport &end) { notice(PeerQueryEnded{end}); };
+    return callbacks;
 }
 
 PeerFeedHandlers DirectNode::peerHandlers()
@@ -153,18 +153,18 @@
             [this](bool changed) { onPeersAnswered(changed); }};
 }
 
-ViewRelay::Callbacks DirectNode::relayPorts()
+ViewRelay::Callbacks DirectNode::relayCallbacks()
 {
-    ViewRelay::Callbacks ports;
-    ports.now = m_callbacks.feed.now;
-    ports.after = m_callbacks.feed.after;
-    ports.lineage = [this] { return lineage(); };
-    ports.isRoot = [this](const Endpoint &daemon) {
+    ViewRelay::Callbacks callbacks;
+    callbacks.now = m_callbacks.feed.now;
+    callbacks.after = m_callbacks.feed.after;
+    callbacks.lineage = [this] { return lineage(); };
+    callbacks.isRoot = [this](const Endpoint &daemon) {
         return std::find(m_roots.begin(), m_roots.end(), daemon) != m_roots.end();
     };
-    ports.fresher = [this](const Endpoint &fresher) { m_peers.trySource(fresher); };
-    ports.overflow = [this](const FollowerOverflow &turning) { notice(turning); };
-    return ports;
+    callbacks.fresher = [this](const Endpoint &fresher) { m_peers.trySource(fresher); };
+    callbacks.overflow = [this](const FollowerOverflow &turning) { notice(turning); };
+    return callbacks;
 }
 
 Lineage DirectNode::lineage() const
--- a/src/core/direct/direct_router.cpp
+++ b/src/core/direct/direct_router.cpp
@@ -108,7 +108,7 @@
 {
     const SegmentVerdict verdict = segment.opens ? open(segment, now) : forward(segment, now);
     if (m_gate.held() > 0)
-        serveHeldAt(segment, now);
+        serveHeldAfter(segment, now);
     return verdict;
 }
 
--- a/src/core/direct/direct_router.h
+++ b/src/core/direct/direct_router.h
@@ -229,7 +229,7 @@
     [[nodiscard]] SegmentVerdict hold(Flow &flow, const DirectTarget &target,
                                       const Segment &segment);
     void serveHeld(DirectTarget &target, TimePoint now);
-    void serveHeldAt(const Segment &segment, TimePoint now);
+    void serveHeldAfter(const Segment &segment, TimePoint now);
     void forwardHeld(const HeldRequest &request, TimePoint now);
     void abandonHeld(const HeldRequest &request);
     void clearHeld(Flow &flow);
--- a/src/core/direct/direct_router_held.cpp
+++ b/src/core/direct/direct_router_held.cpp
@@ -160,7 +160,7 @@
 }
 
 // A segment that acknowledges an answer or ends a flow may make room at the target.
-void DirectRouter::serveHeldAt(const Segment &segment, TimePoint now)
+void DirectRouter::serveHeldAfter(const Segment &segment, TimePoint now)
 {
     const auto known = m_flows.find(segment.flow);
     if (known == m_flows.end())
