--- a/tests/explain/walkthrough_test.cpp
+++ b/tests/explain/walkthrough_test.cpp
@@ -57,7 +57,7 @@
     opening.flow.service.port += 1;
     (void)system.send(2, opening);
     system.cluster.time.run(200ms);
-    opening.copy = 1;
+    opening.retransmits = 1;
     (void)system.send(2, opening);
     const std::string story = system.story(Complaining);
     expectInOrder(story, {"flows: stale_view", "copy=0", "fresh=false",
