--- a/src/core/directory/collection_copy.cpp
+++ b/src/core/directory/collection_copy.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Steps that are remembered for copies that lag behind: a minute of a busy day. One that lags
-/// further gets everything.
+/// Changes that are logged for copies that lag behind: about a minute of a busy day. A copy that
+/// lags further gets the complete collection.
 constexpr std::size_t MaxLoggedChanges = 256;
-/// Old values that are kept for patches, in bytes: two of the largest that the store holds. A
-/// follower that lags further gets the whole value.
+/// Size of replaced values that are retained as bases of patches: two of the largest objects that
+/// the store holds. A follower that lags further gets the whole value.
 constexpr std::size_t MaxReplacedBytes = 2 << 20;
 
 } // namespace
@@ -50,11 +50,12 @@
     const bool changed = !change.written.empty() || !change.removed.empty();
     if (first || changed)
         m_changedAt = version;
-    // What came and went between the two states is not known here. A copy of a version in between
-    // may hold a target that has long left, and only everything tells it so.
+    // Objects that were created and removed between the two states are not known here. A copy of a
+    // version in between may hold a target that is long gone; only a complete answer removes it
+    // there.
     m_changeLog.clear();
     m_changeLogStart = version;
-    // Nor is it known after a start whether the store was away before.
+    // After a start it isn't known either whether the store was unavailable before.
     m_snapshotAfterOutage = afterOutage || first;
     return first || changed ? std::optional{change} : std::nullopt;
 }
@@ -84,8 +85,8 @@
         change.removed.push_back(key);
     }
     m_version = changes.version;
-    // An object that came and went within these changes was never here, but may be in a copy of a
-    // version in between: that it is gone has to be told all the same.
+    // An object that was created and removed within these changes was never in this copy, but may
+    // be in a copy of a version in between, so its removal is logged all the same.
     if (!change.written.empty() || !changes.removed.empty())
         recordChange({change.written, changes.removed, change.version, change.afterOutage});
     if (change.written.empty() && change.removed.empty())
--- a/src/core/directory/directory.h
+++ b/src/core/directory/directory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What the store says of services and their targets, in the product's own types.
+/// \brief Types for the services, routes and targets that the store holds.
 
 #include "core/endpoint.h"
 #include "core/ids.h"
@@ -24,22 +24,22 @@
     friend bool operator==(const RouteShare &, const RouteShare &) = default;
 };
 
-/// \brief What the requests of a route are, as far as it matters when one fails.
+/// \brief Whether the requests of a route may be retried after a failure.
 enum class RequestKind {
-    Unknown,       ///< Taken as one that must not run twice.
+    Unknown,       ///< Treated as NonIdempotent.
     Idempotent,    ///< May be sent again.
     NonIdempotent, ///< Must not run twice.
-    Upload,        ///< Must not run twice; a large body.
-    Download,      ///< May be sent again; a large answer.
+    Upload,        ///< Must not run twice; has a large body.
+    Download,      ///< May be sent again; has a large response.
 };
 
-/// \brief What an operator promises callers of a route.
+/// \brief Priority and deadlines that the operator sets for the requests of a route.
 struct RequestPolicy
 {
     RequestKind kind = RequestKind::Unknown;
     std::uint32_t priority = LowestPriority; ///< 0 is the most urgent.
-    Duration latency{0}; ///< Within which an answer is worth all; 0 where none is named.
-    Duration timeout{0}; ///< After which the caller no longer waits; 0 where none is named.
+    Duration latency{0};                     ///< Target latency of a response; 0 for none.
+    Duration timeout{0};                     ///< After which the caller stops waiting; 0 for none.
 
     static constexpr std::uint32_t LowestPriority = 1000;
 
@@ -57,28 +57,28 @@
     friend bool operator==(const Route &, const Route &) = default;
 };
 
-/// \brief What a service's targets bear for a while after their start; nothing is stated where the
-/// rate is 0.
+/// \brief Limit on the new flows of a service's targets after their start; unset where the rate is
+/// 0.
 struct WarmUpLimit
 {
     Duration duration{0};
-    double flowsPerSecond = 0; ///< New flows, of all daemons together.
+    double flowsPerSecond = 0; ///< New flows, summed over all daemons.
 
     [[nodiscard]] bool isSet() const noexcept { return flowsPerSecond > 0; }
 
     friend bool operator==(const WarmUpLimit &, const WarmUpLimit &) = default;
 };
 
-/// \brief All routes of one version of the operator's configuration; never changed once made.
+/// \brief All routes of one version of the operator's configuration; immutable.
 struct RouteTable
 {
-    std::uint64_t version = 0; ///< As the operator counts; grows.
+    std::uint64_t version = 0; ///< Version of the operator's configuration; only grows.
     std::map<Endpoint, Route> routes;
     std::map<ServiceId, std::string> serviceNames;
-    std::map<ServiceId, WarmUpLimit> warmUpLimits; ///< Of services that state one.
-    Duration idleTimeout{0}; ///< A flow that was silent for longer may be forgotten; 0 for none.
+    std::map<ServiceId, WarmUpLimit> warmUpLimits; ///< Only services that set one.
+    Duration idleTimeout{0}; ///< Flows that are idle for longer may be evicted; 0 for none.
 
-    /// \return The route, or null.
+    /// \return The route of the address, or null.
     [[nodiscard]] const Route *find(const Endpoint &address) const noexcept
     {
         const auto found = routes.find(address);
@@ -88,23 +88,24 @@
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// \brief A target as it registered itself. It may start again under its id: then it holds no flow
-/// and knows nothing of before.
+/// \brief A target as it registered itself.
+///
+/// A target may restart under the same id: it then has no flows and no earlier state.
 struct RegisteredTarget
 {
     TargetId id;
-    /// Start of this incarnation, by the target's own clock; nothing where it does not say. Two
-    /// are compared for being the same only, so that no clock has to be right.
+    /// Start time of this incarnation by the target's own clock, or nothing where the target
+    /// doesn't report it. Only compared for equality, so that clocks don't have to be synchronised.
     std::optional<std::chrono::sys_time<std::chrono::milliseconds>> startedAt;
     std::string name;
     ServiceId service;
     std::string domain;
-    /// UDP; may have belonged to a target of another service before. It takes TCP connections there
-    /// too.
+    /// UDP address, at which the target accepts TCP connections too. It may have belonged to a
+    /// target of another service before.
     Endpoint address;
     std::uint32_t slots = 1;
     bool draining = false;
-    Duration warmUpLeft{0}; ///< How much longer the target says that it is slow after its start.
+    Duration warmUpLeft{0}; ///< Remaining warm-up time, as reported by the target.
 
     friend bool operator==(const RegisteredTarget &, const RegisteredTarget &) = default;
 };
--- a/src/core/directory/heartbeat_monitor.h
+++ b/src/core/directory/heartbeat_monitor.h
@@ -8,8 +8,10 @@
 
 namespace baobabtrail {
 
-/// \brief Notices whether the pulse of an origin still grows: then somebody looks after the store,
-/// however old the copies are that come from there.
+/// \brief Detects whether an origin's heartbeat still advances.
+///
+/// While it does, some daemon is still trying to reach the store, however old the copies from there
+/// are.
 class HeartbeatMonitor
 {
 public:
@@ -17,7 +19,8 @@
     {
         if (lineage.origin.isNull())
             return;
-        // The highest of each origin: in a ring, the pulses of two origins could go round for ever.
+        // The highest count is kept for each origin: in a cycle of daemons, the heartbeats of two
+        // origins could circulate for ever.
         std::uint64_t &highest = m_highestCounts[lineage.origin];
         if (lineage.heartbeat <= highest)
             return;
@@ -27,14 +30,14 @@
             m_highestCounts = {{lineage.origin, lineage.heartbeat}};
     }
 
-    /// \return When one of them grew last.
+    /// \return When a heartbeat last advanced.
     [[nodiscard]] std::optional<TimePoint> lastAdvanceAt() const noexcept
     {
         return m_lastAdvanceAt;
     }
 
 private:
-    /// Origins that are kept apart.
+    /// Origins that are tracked at a time.
     static constexpr std::size_t MaxOrigins = 64;
 
     std::map<Endpoint, std::uint64_t> m_highestCounts;
--- a/src/core/directory/keys.h
+++ b/src/core/directory/keys.h
@@ -4,12 +4,12 @@
 
 namespace baobabtrail {
 
-/// Objects that say at which addresses callers reach which services; written by the operator.
+/// Objects that map addresses to services; written by the operator.
 inline constexpr std::string_view RoutesPrefix = "routes/";
-/// Objects by which targets register themselves, one each.
+/// Registrations of targets, one object each.
 inline constexpr std::string_view TargetsPrefix = "targets/";
-/// Objects by which the operator asks that a failure domain gets no new flows, one each, named by
-/// the domain. It is evacuated as long as the object is there, whatever that holds.
+/// Failure domains that get no new flows, one object each, named after the domain. A domain is
+/// evacuated as long as its object exists, whatever its value.
 inline constexpr std::string_view EvacuationsPrefix = "evacuations/";
 
 } // namespace baobabtrail
--- a/src/core/directory/patch_cache.cpp
+++ b/src/core/directory/patch_cache.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Followers of one daemon are behind by one change as a rule, by a few while changes come fast.
+/// Followers usually lag by one change, or by a few while changes follow each other fast.
 constexpr std::size_t MaxPatches = 8;
 
 } // namespace
@@ -33,7 +33,8 @@
                                                       const StoredObject &object,
                                                       ObjectVersion after)
 {
-    // One that is no newer comes in a complete answer: nobody is told which value it replaced.
+    // An object that is no newer than \a after is part of a complete answer: it isn't known which
+    // value it replaced there.
     if (object.value.size() < MinPatchedBytes || object.version <= after)
         return std::nullopt;
     const StoredObject *base = copy.valueAt(object.key, after);
@@ -50,7 +51,7 @@
         m_patches.push_back(
             {object.key, base->version, object.version, makePatch(base->value, object.value)});
     } catch (const std::runtime_error &) {
-        return std::nullopt; // For want of memory: the whole value goes, and says the same.
+        return std::nullopt; // Out of memory: the whole value is sent instead.
     }
     if (m_patches.size() > MaxPatches)
         m_patches.pop_front();
--- a/src/core/directory/patch_cache.h
+++ b/src/core/directory/patch_cache.h
@@ -7,15 +7,15 @@
 
 namespace baobabtrail {
 
-/// \brief Patches of large objects for daemons whose copies lag, each made once.
+/// \brief Caches patches of large objects for followers that lag behind, so that each is made once.
 ///
-/// All routes are one object. Sent whole, a change of one route fills the thin links of daemons
-/// that answer others.
+/// All routes are one object. Sent whole, a change of one route would saturate the thin links of
+/// daemons that have followers.
 class PatchCache
 {
 public:
-    /// \brief Turns what \a answer brings of large objects into patches, where the asking daemon's
-    /// copy of the version \a after has an older value of theirs that \a copy remembers.
+    /// \brief Replaces large objects in \a answer by patches where \a copy retains the older value
+    /// that a copy of the version \a after has.
     void replaceWithPatches(const CollectionCopy &copy, ObjectVersion after,
                             CollectionAnswer &answer);
 
--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// \brief Moves each patched object into the answer's written ones.
+/// \brief Moves each patched object into the written ones of the answer.
 [[nodiscard]] bool resolveCollectionPatches(const CollectionCopy &copy, CollectionAnswer &answer)
 {
     for (const ValuePatch &patch : answer.patches) {
         const StoredObject *base = copy.find(patch.key);
         if (base && base->version >= patch.version) {
-            // Known already, by the store. It is part of the answer all the same: a complete one
-            // takes away what it does not name, and this daemon would have no routes to give.
+            // Already received from the store. It has to be part of the answer all the same: a
+            // complete answer removes what it doesn't list, and this daemon would have no routes to
+            // serve.
             answer.delta.change.written.push_back(*base);
             continue;
         }
@@ -101,8 +102,8 @@
         const CollectionDelta &delta = answer.collections[index].delta;
         const CollectionChange &news = delta.change;
         if (news.version < collection.copy->version()) {
-            // The version of a watched copy grows with its changes only: a peer whose version is
-            // older lacks nothing as a rule, and what it lacks is on its way there.
+            // The version of a copy confirmed by watch grows only with its changes: a peer with an
+            // older version usually lacks nothing, and what it lacks is on its way there.
             behind = behind || collection.copy->confirmedByAge();
             continue;
         }
@@ -116,8 +117,9 @@
         collection.changed(*change);
     }
     taken.fresh = answer.age <= staleAfter;
-    // A peer that is behind, since this daemon had to ask the store itself, catches up soon. To go
-    // on with the store would keep this daemon ahead of its peers, and at the store, for ever.
+    // The peer is behind because this daemon had to query the store itself, and catches up soon.
+    // Going on with the store would keep this daemon ahead of its peers, and at the store, for
+    // ever.
     if (behind) {
         taken.fresh = taken.fresh && ownIsFresh;
         return taken;
--- a/src/core/directory/peer_copies.h
+++ b/src/core/directory/peer_copies.h
@@ -9,23 +9,23 @@
 
 namespace baobabtrail {
 
-/// \brief A collection that is kept up to date by other daemons' answers.
+/// \brief A collection that is kept up to date by the answers of other daemons.
 struct SharedCollection
 {
     std::string prefix;
     CollectionCopy *copy = nullptr;                                ///< Never null.
-    std::function<void(const CollectionChange &change)> changed{}; ///< Told of each change.
+    std::function<void(const CollectionChange &change)> changed{}; ///< Called for each change.
 };
 
-/// \brief What became of the copies by one answer.
+/// \brief The effect of an answer on the copies.
 struct CopyUpdate
 {
-    bool changed = false;   ///< One of the copies is another one now.
-    bool confirmed = false; ///< They are the answering daemon's, and as old.
-    bool fresh = false;     ///< They are young enough to be relied on.
+    bool changed = false;   ///< At least one copy changed.
+    bool confirmed = false; ///< The copies match the answering daemon's and have their age.
+    bool fresh = false;     ///< The copies are young enough to be relied on.
 };
 
-/// \brief The copies that daemons share, all in one question and one answer.
+/// \brief The collections that daemons share, updated together by one query and its answer.
 class PeerCopies
 {
 public:
@@ -36,21 +36,22 @@
 
     /// \return Whether there is a copy of each collection.
     [[nodiscard]] bool complete() const;
-    /// \return Of the older one of those that are dated; nothing where one was never confirmed.
+    /// \return When the oldest of the copies confirmed by age was confirmed; nothing where one
+    /// never was.
     [[nodiscard]] std::optional<TimePoint> confirmedAt() const;
-    /// \return The oldest version of those that are dated.
+    /// \return The oldest version of the copies that are confirmed by age.
     [[nodiscard]] ObjectVersion version() const;
     [[nodiscard]] std::vector<CollectionQuery> queries() const;
 
-    /// \brief Makes whole objects of the patches of an answer. \return False where one does not fit
-    /// the copy that it is for.
+    /// \brief Replaces the patches of an answer by whole objects.
+    /// \return False where a patch doesn't fit the copy that it is for.
     [[nodiscard]] bool resolvePatches(PeerAnswer &answer) const;
-    /// \brief Takes an answer to question(); one that is stale is taken too, where it is newer.
-    /// \param staleAfter Age at which a copy is no longer relied on.
+    /// \brief Applies an answer to queries(), also a stale one where it is newer than the copies.
+    /// \param staleAfter Age beyond which a copy is no longer relied on.
     [[nodiscard]] CopyUpdate apply(const PeerAnswer &answer, Duration staleAfter, TimePoint now);
 
 private:
-    /// \brief Takes what the answer says of the store's having been away.
+    /// \brief Takes over what the answer says of the store's last return.
     void noteStoreReturn(const PeerAnswer &answer, TimePoint now) const;
 
     std::vector<SharedCollection> m_collections;
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What daemons ask each other about their copies of the store's collections.
+/// \brief Queries and answers by which daemons share their copies of the store's collections.
 
 #include "core/directory/collection_copy.h"
 #include "core/endpoint.h"
@@ -14,31 +14,33 @@
 
 namespace baobabtrail {
 
-/// \brief What an asking daemon has of one collection.
+/// \brief The version that the querying daemon has of one collection.
 struct CollectionQuery
 {
     std::string prefix;
     ObjectVersion after; ///< Version of its copy; null where it has none.
 };
 
-/// \brief Asks a daemon for what it knows beyond a version; it may wait for a change.
+/// \brief Asks a daemon for what is newer than the given versions; long poll.
 struct PeerQuery
 {
     std::vector<CollectionQuery> collections;
-    Duration wait{0}; ///< Longest wait where nothing is newer.
-    Endpoint querier; ///< Where the asking daemon answers such questions itself.
+    Duration wait{0}; ///< How long the answer may be delayed while nothing is newer.
+    Endpoint querier; ///< Where the querying daemon answers queries itself.
     std::string domain;
-    /// Since the store confirmed the older one of the asking daemon's copies; nothing where one is
-    /// missing. One that is younger than the copies of the daemon that is asked may help that one.
+    /// Time since the store confirmed the older of the querying daemon's copies; nothing where one
+    /// is missing. If that copy is younger than the queried daemon's, the queried daemon may query
+    /// back.
     std::optional<Duration> age;
-    /// The origin that the asking daemon is linked to, and its highest pulse so far.
+    /// The origin that the querying daemon is linked to, and the highest heartbeat that it has
+    /// seen.
     Endpoint origin;
     std::uint64_t heartbeat = 0;
-    /// Only a look: to be answered at once, and to take no seat.
+    /// To be answered at once, without a follower slot.
     bool oneShot = false;
-    bool patches = false; ///< Large values may come as patches.
+    bool patches = false; ///< The querying daemon accepts patches of large values.
 
-    /// \return Whether the asking daemon has no copy of one of the collections.
+    /// \return Whether the querying daemon has no copy of one of the collections.
     [[nodiscard]] bool lacksCopy() const noexcept
     {
         return std::any_of(collections.begin(), collections.end(),
@@ -46,120 +48,120 @@
     }
 };
 
-/// \brief How a daemon's copy comes from the store.
+/// \brief The path by which a daemon's copies come from the store.
 struct Lineage
 {
-    /// The daemon itself, the one that it has its copy from, and so on up to the origin, which
-    /// looks after the store. A daemon that finds itself here must not take its copy from there:
+    /// The daemon itself, the daemon that its copy comes from, and so on up to the origin, which
+    /// watches the store. A daemon that finds itself in a source's path must not copy from there:
     /// both would wait for each other.
     std::vector<Endpoint> path;
-    Endpoint origin; ///< The daemon that looks after the store; null where none is known.
-    /// Counted by the origin. Whoever sees it grow is linked to the origin, however old the copy
-    /// is; among daemons that only have their copies from each other it stands.
+    Endpoint origin; ///< The daemon that watches the store; null where none is known.
+    /// Counted by the origin. A daemon that sees it advance is connected to the origin, however old
+    /// its copy is; among daemons that only have their copies from each other it stands still.
     std::uint64_t heartbeat = 0;
 };
 
-/// One count of a pulse: finer than the second in which followers ask.
+/// Interval of an origin's heartbeat: shorter than the second in which followers query.
 inline constexpr Duration HeartbeatInterval = 100ms;
-/// Followers hear of a pulse after so many counts: less than the shortest wait of the first hop, so
-/// that each of them gets it at once, however many hops away.
+/// Followers are notified of a heartbeat after this many counts. That is less than the shortest
+/// wait of the first hop, so that each follower gets it at once, however many hops away.
 inline constexpr std::uint64_t MinHeartbeatAdvance = 5;
 
-/// \brief An object's new value, as what makes it out of an older one.
+/// \brief A patch that makes an object's new value out of an older one.
 struct ValuePatch
 {
     std::string key;
-    ObjectVersion base;    ///< Of the object whose value is patched.
-    ObjectVersion version; ///< Of the object that comes out.
-    std::string bytes;     ///< As makePatch() makes them.
+    ObjectVersion base;    ///< Version of the object that the patch applies to.
+    ObjectVersion version; ///< Version of the resulting object.
+    std::string bytes;     ///< Encoded by makePatch().
 };
 
-/// \brief What the answering daemon has of one collection and the asking one lacks.
+/// \brief What the querying daemon lacks of one collection.
 struct CollectionAnswer
 {
     CollectionDelta delta;
-    std::vector<ValuePatch> patches; ///< Objects that are part of the delta besides.
-    /// Since the store came back from being away, where that was lately: what lapsed meanwhile may
-    /// register again.
+    std::vector<ValuePatch> patches; ///< Further objects of the delta, as patches.
+    /// Time since the store returned from an outage, if recent: lapsed targets may register again.
     std::optional<Duration> sinceStoreReturn;
 };
 
-/// \brief A daemon that has its copies from the answering one.
+/// \brief A daemon that the querying one is redirected to; it follows the answering one.
 struct PeerReferral
 {
     Endpoint address;
-    std::optional<std::string> domain{}; ///< Nothing where the answer is an older release's.
+    std::optional<std::string> domain{}; ///< Nothing in the answer of an older release.
 
     friend bool operator==(const PeerReferral &, const PeerReferral &) = default;
 };
 
-/// \brief What the daemon knows, or whom to ask instead.
+/// \brief The state of the answering daemon's copies, or daemons to query instead.
 struct PeerAnswer
 {
     std::string domain;
-    /// In the order of the question; none where the daemon is blank or names others to ask.
+    /// In the order of the query; empty where the daemon is empty or redirects.
     std::vector<CollectionAnswer> collections;
-    Duration age{0}; ///< Since the store confirmed the older copy.
+    Duration age{0}; ///< Time since the store confirmed the older copy.
     Lineage lineage; ///< Of the answering daemon.
-    /// The asking daemon is one of the few that the answering one answers while all is well. While
-    /// the copy is out of date everybody is answered, and only these look at the store for
-    /// themselves.
+    /// The querying daemon has one of the few follower slots of the answering one. While the copy
+    /// is stale, every daemon is answered, and only those with a slot query the store themselves.
     bool hasSlot = true;
-    bool isEmpty = false; ///< It has no copies itself yet, and waits for them.
-    /// Daemons that have their copies from this one, which answers enough already.
+    bool isEmpty = false; ///< It has no copies itself yet and waits for them.
+    /// Followers of the answering daemon, whose follower slots are all taken.
     std::vector<PeerReferral> redirect;
 };
 
-/// \brief Nothing where the peer has no copy that it can vouch for.
+/// \brief Nothing where the peer has no copy, or none with a known confirmation.
 using PeerReply = std::optional<PeerAnswer>;
 
-/// \return Whether the asking daemon goes on elsewhere, so that its connection is of no more use.
+/// \return Whether the querying daemon will go on to another one, so that its connection can be
+/// closed.
 [[nodiscard]] inline bool closesConnection(const PeerReply &reply) noexcept
 {
     return !reply || !reply->redirect.empty();
 }
 
-/// \brief How long a question may take, from the moment it is asked.
+/// \brief Timeouts of a query, all counted from when it is sent.
 struct QueryTimeouts
 {
-    /// Until the peer's VM takes the connection, as it does however busy the peer is; a VM that is
-    /// dark or cut off does not.
+    /// Until the connection is accepted. The peer's VM accepts it however busy the peer is; a VM
+    /// that has no power or is cut off doesn't.
     Duration connect{0};
-    Duration firstByte{0}; ///< Until the answer begins: a peer that lives answers at once.
-    /// Until its end. An answer that goes on arriving is waited for: given up and asked for
-    /// elsewhere, it would begin anew there and be late again, while the links carry both.
+    Duration firstByte{0}; ///< Until the answer begins: a live peer answers at once.
+    /// Until the answer is complete. An answer that keeps arriving is waited for: if it were
+    /// abandoned and requested elsewhere, it would start over there and be late again, while the
+    /// links carry both.
     Duration total{0};
 };
 
-/// \brief What a question brought the daemon that asked it.
+/// \brief The result of a query.
 struct PeerResult
 {
-    PeerReply reply;         ///< Nothing where the peer said nothing, or not all of it in time.
-    std::uint64_t bytes = 0; ///< Received, of an answer that was not whole too.
-    std::string why{};       ///< There is no reply; empty where there is one.
+    PeerReply reply;         ///< Nothing where the peer didn't answer, or not completely in time.
+    std::uint64_t bytes = 0; ///< Bytes received, also of an incomplete answer.
+    std::string why{};       ///< Why there is no reply; empty where there is one.
 };
 
-/// \brief What became of a question.
+/// \brief How a query ended.
 enum class QueryOutcome {
     Applied,       ///< The copy is as new as the source's.
     Stale,         ///< The source's copy is out of date itself.
-    Empty,         ///< The source waits for a copy itself.
-    Redirected,    ///< The source named others to ask.
-    Refused,       ///< The source has its copy from this daemon, or over too many others.
+    Empty,         ///< The source has no copy yet and waits for one.
+    Redirected,    ///< The source named other daemons to query.
+    Refused,       ///< The source's copy comes from this daemon, or over too many hops.
     PatchMismatch, ///< A patch was made for a value that this daemon never had.
-    Unanswered,    ///< Nothing, or not all of it in time.
+    Unanswered,    ///< No answer, or not completely in time.
 };
 
-/// \brief How a question ended, for the log and the counters.
+/// \brief How a query ended, for the log and the metrics.
 struct QueryReport
 {
     Endpoint source;
-    ObjectVersion after; ///< Oldest version of the asking daemon's copies.
-    Duration wait{0};    ///< That the source was allowed.
-    Duration took{0};    ///< Until the end.
+    ObjectVersion after; ///< Oldest version of the querying daemon's copies.
+    Duration wait{0};    ///< Wait that the query allowed the source.
+    Duration took{0};    ///< Until the query ended.
     std::uint64_t bytes = 0;
     QueryOutcome outcome = QueryOutcome::Applied;
-    std::string why{}; ///< Of an outcome that is no answer.
+    std::string why{}; ///< Set where there was no usable answer.
 };
 
 } // namespace baobabtrail
--- a/src/core/directory/query_rate_limiter.h
+++ b/src/core/directory/query_rate_limiter.h
@@ -6,14 +6,14 @@
 
 namespace baobabtrail {
 
-/// \brief Bounds how often a daemon asks others.
+/// \brief Limits the rate of queries to other daemons.
 ///
-/// Daemons that send one on to each other, or whose answers are all out of date, would have it ask
-/// as fast as the network goes.
+/// Without it, a daemon would query as fast as the network allows where daemons redirect it to each
+/// other, or where all answers are stale.
 class QueryRateLimiter
 {
 public:
-    /// \return Whether another question may be asked now.
+    /// \return Whether another query may be sent now.
     [[nodiscard]] bool admit(TimePoint now) noexcept
     {
         if (now - m_periodStart >= Period) {
@@ -25,7 +25,7 @@
 
 private:
     static constexpr Duration Period = 1s;
-    /// A daemon that starts asks down a tree of five levels, and changes may come fast.
+    /// A daemon that starts descends a tree of five levels, and changes may follow each other fast.
     static constexpr std::size_t MaxQueries = 30;
 
     TimePoint m_periodStart{};
--- a/src/core/directory/value_patch.cpp
+++ b/src/core/directory/value_patch.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// The fastest; higher ones save little, since nearly all of the value is found in the base.
+/// The fastest level; higher ones save little, since the base contains nearly all of the value.
 constexpr int Level = 1;
-/// Largest value that a patch may make: eight times what the store holds in one object.
+/// Largest value that a patch may produce: eight times the store's limit for an object.
 constexpr std::uint64_t MaxValueBytes = 8 << 20;
-/// The window spans base and value together, or the codec would not find the one in the other.
+/// The window spans base and value together; otherwise the codec would not find the matches.
 constexpr int MinWindowLog = 16;
 constexpr int MaxWindowLog = 25;
 
@@ -55,7 +55,7 @@
         = ZSTD_compress2(context.get(), patch.data(), patch.size(), value.data(), value.size());
     check(size);
     patch.resize(size);
-    patch.shrink_to_fit(); // It is kept for the next daemon that asks.
+    patch.shrink_to_fit(); // The patch is cached for the next follower.
     return patch;
 }
 
--- a/src/core/directory/value_patch.h
+++ b/src/core/directory/value_patch.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief What makes a value out of an older one, so that a change costs what it changes.
+/// \brief Patches that make a value out of an older one, so that the cost of an update follows the
+/// size of the change.
 
 #include <optional>
 #include <string>
@@ -9,15 +10,15 @@
 
 namespace baobabtrail {
 
-/// Values from this size on are sent as patches, in bytes. Below it a patch saves less than a
-/// question and its answer cost anyway.
+/// Smallest value that is sent as a patch, in bytes. Below it a patch saves less than a query and
+/// its answer cost anyway.
 inline constexpr std::size_t MinPatchedBytes = 4096;
 
-/// \return A patch that makes \a value out of \a base, with a checksum of the value.
-/// \throws std::runtime_error where the codec fails, for want of memory as a rule.
+/// \brief Makes a patch that turns \a base into \a value, with a checksum of the value.
+/// \throws std::runtime_error where the codec fails, as a rule for lack of memory.
 [[nodiscard]] std::string makePatch(std::string_view base, std::string_view value);
 
-/// \return The value, or nothing where the patch was not made for this base or is damaged.
+/// \return The value, or nothing where the patch was made for another base or is damaged.
 [[nodiscard]] std::optional<std::string> applyPatch(std::string_view base, std::string_view patch);
 
 } // namespace baobabtrail
