--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Longest path of a source. Three roots with four followers each reach 1,000 daemons over five;
-/// the rest is for uneven trees, whose hops cost milliseconds each.
+/// Longest path of a source. Three roots with four followers each reach 1,000 daemons over five
+/// hops; the rest is for unbalanced trees, whose hops cost milliseconds each.
 constexpr std::size_t MaxHops = 12;
-/// Wait of a question that is asked when the copy is about to be stale.
+/// Wait of a query that is sent when the copy is about to become stale.
 constexpr Duration MinWait = 10ms;
-/// A source without a copy that answers sooner has not waited; it is not asked again at once.
+/// An empty source that answers sooner has not waited; it is not queried again at once.
 constexpr Duration MinEmptyWait = 100ms;
-/// Between two daemons that are tried at once, while there is no copy: many may offer theirs.
+/// Between two suggested sources that are queried at once while this daemon is empty: many may
+/// offer their copies.
 constexpr Duration SuggestionInterval = 500ms;
 
 } // namespace
@@ -71,7 +72,7 @@
                       });
 }
 
-// All have started at once, and nobody can bring a copy sooner than the store.
+// All daemons have started at once, and no peer can send a copy sooner than the store.
 void PeerFeed::onSourceEmpty()
 {
     if (isEmpty() && !m_copyExpected && m_callbacks.now() - m_startedAt >= m_settings.startupWait)
@@ -94,8 +95,8 @@
     setState(m_staleSince ? PeerState::Stale : PeerState::Lost);
 }
 
-// Not longer than until the copies are stale: the answer then shows whether the source knows
-// better.
+// Not longer than until the copies become stale: the answer then shows whether the source's are
+// fresher.
 Duration PeerFeed::maxWait() const
 {
     const auto confirmed = m_copies.confirmedAt();
@@ -109,7 +110,7 @@
 {
     if (kind == QueryKind::OneShot)
         return Duration{0};
-    // A source that is not known to answer is not waited for.
+    // A source that has not answered before is not given a wait.
     if (source != m_source)
         return Duration{0};
     return isEmpty() ? m_settings.emptyWait : maxWait();
@@ -133,7 +134,7 @@
     }
     checkAllFailed();
     if (isEmpty())
-        m_sources.clearFailures(); // Nothing to lose: all are tried again after the pause.
+        m_sources.clearFailures(); // Nothing to lose: retries all of them after the pause.
     schedule(m_backoff.next(m_random, Duration{0}));
 }
 
@@ -174,11 +175,12 @@
 {
     if (m_sources.empty())
         return;
-    ++*m_generation; // The question that waits is given up.
+    ++*m_generation; // Abandons the pending query.
     queryNext();
 }
 
-// A look says how young the asking daemon's copies are; one that is out of date asks back.
+// The one-shot query carries the age of this daemon's copies; a root whose copies are stale queries
+// back.
 void PeerFeed::notifyRoots()
 {
     for (const Endpoint &root : m_sources.roots()) {
@@ -221,8 +223,8 @@
 {
     const std::vector<Endpoint> &path = answer.lineage.path;
     if (std::find(path.begin(), path.end(), m_identity.address) != path.end())
-        return "its copy comes from here";
-    return path.size() > MaxHops ? "its copy comes over too many daemons" : "";
+        return "the source has its copy from this daemon";
+    return path.size() > MaxHops ? "the source's copy comes over too many hops" : "";
 }
 
 void PeerFeed::onResult(QueryReport end, QueryKind kind, PeerResult result)
@@ -246,11 +248,13 @@
     end.why = rejectReason(*reply);
     if (!end.why.empty()) {
         reportQuery(std::move(end), QueryOutcome::Refused);
-        m_staleSince = m_staleSince.value_or(m_callbacks.now()); // It answers, and knows no more.
+        // The source answers, but its copies are no fresher.
+        m_staleSince = m_staleSince.value_or(m_callbacks.now());
         onFailure(address);
         return;
     }
-    // A look changes nothing of where the copies come from: followers would hear of another origin.
+    // A one-shot query doesn't change the source of the copies; otherwise followers would see
+    // another origin.
     if (kind != QueryKind::OneShot)
         m_lineage = reply->lineage;
     m_heartbeats.observe(reply->lineage, m_callbacks.now());
@@ -260,8 +264,8 @@
         onAnswer(std::move(end), kind, *reply);
 }
 
-// While the source is linked, it has a copy as soon as anybody; to leave it would bring every
-// daemon to the roots, again and again.
+// While the source is linked to a live origin, it gets a copy as soon as any other daemon. Leaving
+// it would bring every daemon to the roots over and over.
 void PeerFeed::onEmptyAnswer(const QueryReport &end)
 {
     reportQuery(end, QueryOutcome::Empty);
@@ -281,13 +285,13 @@
 {
     const Endpoint address = end.source;
     if (answer.collections.size() != m_copies.queries().size()) {
-        end.why = "it answers for one collection at a time, as an older release";
+        end.why = "the source answers one collection at a time, as older releases do";
         reportQuery(std::move(end), QueryOutcome::Unanswered);
         onFailure(address);
         return;
     }
     if (!m_copies.resolvePatches(answer)) {
-        end.why = "a patch does not fit the copy; the whole value is asked for";
+        end.why = "a patch does not match the copy; requesting the whole value";
         reportQuery(std::move(end), QueryOutcome::PatchMismatch);
         m_acceptsPatches = false;
         sendQuery(address, kind);
@@ -327,9 +331,9 @@
         onSourceEmpty();
 }
 
-// While the source is linked, it hears of the store's return as soon as anybody; to leave it would
-// bring every daemon to the roots. One that is linked to nobody knows no more than those that have
-// their copies from there; only a root may.
+// While the source is linked to a live origin, it learns of the store's return as soon as any other
+// daemon; leaving it would bring every daemon to the roots. A source without a live origin knows no
+// more than the daemons that copy from it; only a root may know more.
 void PeerFeed::onStaleAnswer(Source &source)
 {
     m_staleSince = m_staleSince.value_or(m_callbacks.now());
@@ -361,7 +365,8 @@
         sendQuery(untried->address, QueryKind::OneShot);
         return;
     }
-    // Back to the one that has a place for this daemon: only from there it looks at the store.
+    // Returns to the root that has a follower slot for this daemon: only with a slot it queries the
+    // store itself.
     const Source *home = m_sources.find(m_source);
     if (!home || !home->root || !home->staleAt || !home->hasSlot)
         home = m_sources.find(address);
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -16,89 +16,97 @@
 
 namespace baobabtrail {
 
-/// \brief Times of a PeerFeed.
+/// \brief Timeouts and intervals of a PeerFeed.
 struct PeerFeedSettings
 {
-    /// One question: just longer than a root's watch, with whose end the answer comes by itself. A
-    /// peer that died silently costs this and the timeout, and another one has to be asked within
-    /// the three seconds after which a change is in force.
+    /// Wait of one query: just longer than a root's watch, whose end triggers the answer. A peer
+    /// that died silently costs this and the timeout, and another one has to be queried within the
+    /// three seconds after which a change is in force.
     Duration wait = 1600ms;
     /// Until an answer begins, on top of the wait; peers answer within milliseconds.
     Duration timeout = 400ms;
-    /// Until its end, on top of the wait: a megabyte over 2 Mbit/s takes 4 s, and the half of that
-    /// again goes to others on the same link.
+    /// Until an answer is complete, on top of the wait: a megabyte over 2 Mbit/s takes 4 s, plus
+    /// half of that for other transfers on the same link.
     Duration answerTimeout = 6s;
-    /// Until a peer's VM takes a connection. A dark one costs this at a start, while callers wait.
+    /// Until a peer's VM accepts a connection. At a start each VM without power costs this much,
+    /// while callers wait.
     Duration connectTimeout = 200ms;
-    /// One question while this daemon has no copy, to a source that may have none either.
+    /// Wait of one query while this daemon is empty, to a source that may be empty too.
     Duration emptyWait = 1s;
-    /// For a whole copy to begin, on top of that wait; it is made first.
+    /// Until a complete copy begins to arrive, on top of that wait; the source has to build it
+    /// first.
     Duration copyTimeout = 2s;
-    Duration retry = 100ms;         ///< Between sources that don't answer; doubles, with jitter.
-    Duration maxRetry = 1s;         ///< At most; hundreds may have lost the same source.
-    Duration retryFailedAfter = 1s; ///< Until a source that failed is tried again.
-    /// Between two looks at a root whose copy was out of date, by those who wait at another one.
+    /// Between queries while no source answers; doubles, with jitter.
+    Duration retry = 100ms;
+    /// Upper bound of these pauses; hundreds of daemons may have lost the same source.
+    Duration maxRetry = 1s;
+    Duration retryFailedAfter = 1s; ///< Until a source that failed is queried again.
+    /// Between two one-shot queries to a root with a stale copy, by daemons that wait at another
+    /// root.
     Duration retryStaleAfter = 2s;
-    /// A source whose origin's pulse has stood for so long is linked to nobody. The pulse comes
-    /// with each question (the wait), and has to stand for less than what makes a copy stale: in a
-    /// ring of daemons both stop at once.
+    /// A source is disconnected from its origin when the origin's heartbeat has not advanced for
+    /// this long. The heartbeat comes with the answer of each query (see \a wait), and this has to
+    /// be less than \a staleAfter: in a cycle of daemons, heartbeat and confirmations stop at the
+    /// same time.
     Duration originTimeout = 2100ms;
-    /// Age at which a peer's copy is no better than none: a watch of a root at the store takes 1.5
-    /// s, its followers hear of its end at once, and 0.7 s are for slow answers. Half a second
-    /// later a daemon has to have asked the store itself, to know of a change within three seconds.
+    /// Age at which a peer's copy is no better than none: a root's watch at the store takes 1.5 s,
+    /// its followers are notified at once when it ends, and 0.7 s are for slow answers. Half a
+    /// second later a daemon has to have queried the store itself, to learn of a change within
+    /// three seconds.
     Duration staleAfter = 2200ms;
-    /// A daemon that starts without a copy asks the store beside its peers from then on: those that
-    /// live have answered, and where all have started at once callers wait for the store.
+    /// A daemon that starts empty also queries the store after this time: live peers have answered
+    /// by then, and where all daemons have started at once, callers wait for the store.
     Duration headStart = 100ms;
-    /// The same once a peer that has the copies has answered.
+    /// As \a headStart, once a peer that has the copies has answered.
     Duration copyHeadStart = 1s;
-    /// A process that starts waits this long for a peer before it asks the store itself. Worth it
-    /// only where the whole system starts and no caller waits.
+    /// A process that starts waits this long for a peer before it queries the store itself. Only
+    /// useful where the whole system starts and no callers wait.
     Duration startupWait{0};
 };
 
-/// \brief What a PeerFeed needs of its surroundings.
+/// \brief Clock, timers and transport of a PeerFeed.
 struct PeerFeedCallbacks
 {
     std::function<TimePoint()> now;
     std::function<void(Duration, std::function<void()>)> after;
-    /// Asks a peer; the handler is called once, later, within \a limits.
+    /// Sends a query to a peer; the handler is called once, asynchronously, within \a limits.
     std::function<void(const Endpoint &peer, const PeerQuery &query, const QueryTimeouts &limits,
                        std::function<void(PeerResult)>)>
         ask;
-    std::function<void(const QueryReport &)> ended{}; ///< Told of each question; may be empty.
+    /// Called for each finished query; may be empty.
+    std::function<void(const QueryReport &)> ended{};
 };
 
-/// \brief Who asks.
+/// \brief The querying daemon.
 struct PeerIdentity
 {
-    Endpoint address; ///< Where this daemon answers questions itself; null for nowhere.
+    Endpoint address; ///< Where this daemon answers queries itself; null for nowhere.
     std::string domain;
 };
 
-/// \brief What the other daemons are good for.
+/// \brief How far this daemon can rely on its peers' copies.
 enum class PeerState {
-    Fresh,   ///< One of them has copies that the store confirmed lately.
-    Waiting, ///< The source's copies are old; one that is nearer to the store looks after that.
-    Stale,   ///< They answer, but the store is away from all of them; nobody is nearer to it.
-    Lost,    ///< None answers with a copy.
+    Fresh,   ///< A peer has copies that the store confirmed recently.
+    Waiting, ///< The source's copies are stale; a daemon nearer to the store is handling that.
+    Stale,   ///< Peers answer, but none of them can reach the store, nor is any nearer to it.
+    Lost,    ///< No peer answers with a copy.
 };
 
-/// \brief Who is told of what a PeerFeed does.
+/// \brief Event handlers of a PeerFeed.
 struct PeerFeedHandlers
 {
-    /// Each change of the state.
+    /// Called for each change of the state.
     std::function<void(PeerState)> contact;
-    /// A source has answered for the copies. \a changed: one of them is another one now.
+    /// Called when a source has answered for the copies. \a changed: at least one copy changed.
     std::function<void(bool changed)> answered;
 };
 
 /// \brief Keeps the copies of the store's collections up to date from other daemons.
 ///
-/// Asks one source at a time, of the own failure domain where one answers, and goes on to the next
-/// where it fails or vouches for nothing. Where the source's copies are out of date, or it has none
-/// yet, but somebody on the way up looks after that, this daemon stays and waits: in an outage
-/// hundreds would else ask the roots.
+/// Queries one source at a time, preferably of the local failure domain, and moves to the next one
+/// where it fails or its copies are stale. Where the source's copies are stale, or it is empty, but
+/// the origin above it is alive, this daemon stays and waits: otherwise hundreds of daemons would
+/// query the roots during an outage.
 class PeerFeed
 {
 public:
@@ -107,38 +115,41 @@
     PeerFeed(const PeerFeed &) = delete;
     PeerFeed &operator=(const PeerFeed &) = delete;
 
-    /// \brief Starts, or asks anew. \param roots Daemons that watch the store.
+    /// \brief Starts, or restarts with all sources.
+    /// \param roots Daemons that watch the store.
     void start(const std::vector<Endpoint> &roots);
-    /// \brief Tells the source at once how young this daemon's own copies have become.
+    /// \brief Tells the source at once how recently the store confirmed this daemon's copies.
     void notifySource();
-    /// \brief Tells the other roots how young this daemon's own copies have become.
+    /// \brief Tells the other roots how recently the store confirmed this daemon's copies.
     void notifyRoots();
-    /// \brief Takes a daemon for a source whose copies are younger, and asks it at once.
+    /// \brief Adds a daemon with fresher copies as a source and queries it at once.
     void trySource(const Endpoint &fresher);
 
     [[nodiscard]] PeerState state() const noexcept { return m_state; }
     /// \return The source that answered last; null for none.
     [[nodiscard]] const Endpoint &source() const noexcept { return m_source; }
-    /// \return Of the source.
+    /// \return The lineage of the source's copies.
     [[nodiscard]] const Lineage &lineage() const noexcept { return m_lineage; }
-    /// \return When the origin's pulse grew last.
+    /// \return When the origin's heartbeat last advanced.
     [[nodiscard]] std::optional<TimePoint> heartbeatAt() const noexcept
     {
         return m_heartbeats.lastAdvanceAt();
     }
-    /// \return Whether somebody on the way up looks after the store.
+    /// \return Whether the origin's heartbeat advanced recently, so that some daemon upstream is
+    /// watching the store or trying to reach it.
     [[nodiscard]] bool originAlive() const;
 
 private:
     enum class QueryKind {
         Normal,
-        OneShot, ///< Are the copies there out of date too?
+        OneShot, ///< Checks whether a root's copies are stale too.
     };
 
     [[nodiscard]] bool isEmpty() const { return !m_copies.complete(); }
-    /// \brief Callers wait: the store has to be asked too, unless a peer is about to bring a copy.
+    /// \brief Reports the peers as lost, so that the store is queried too, unless a peer is about
+    /// to send a copy: callers wait.
     void fallBackToStore(TimePoint startedAt);
-    /// \brief Takes the peers for lost, or stale, once every source has failed.
+    /// \brief Sets the state to Lost or Stale once every source has failed.
     void checkAllFailed();
     [[nodiscard]] Duration waitFor(QueryKind kind, const Endpoint &source) const;
     [[nodiscard]] Duration maxWait() const;
@@ -147,9 +158,9 @@
     [[nodiscard]] PeerQuery makeQuery(QueryKind kind, const Endpoint &source) const;
     void sendQuery(const Endpoint &source, QueryKind kind = QueryKind::Normal);
     void onResult(QueryReport end, QueryKind kind, PeerResult result);
-    /// \return Why the answer is no use; empty where it is.
+    /// \return Why the answer can't be used; empty where it can.
     [[nodiscard]] std::string rejectReason(const PeerAnswer &answer) const;
-    /// \brief A source has no copy itself: the store has to be asked, where callers wait.
+    /// \brief Reports the peers as lost where the sources are empty and callers wait for the store.
     void onSourceEmpty();
     void onEmptyAnswer(const QueryReport &end);
     void onAnswer(QueryReport end, QueryKind kind, PeerAnswer &answer);
@@ -157,7 +168,7 @@
     void onRedirect(Source &from, const PeerAnswer &answer);
     void onFailure(const Endpoint &source);
     void onStaleAnswer(Source &source);
-    /// \brief Goes on to another root, or waits at one where all are out of date.
+    /// \brief Checks another root, or waits at one where all are stale.
     void onStaleRoot(Source &root);
     void setState(PeerState state);
     void schedule(Duration wait);
@@ -176,10 +187,12 @@
     HeartbeatMonitor m_heartbeats;
     TimePoint m_startedAt{};
     PeerState m_state = PeerState::Fresh;
-    bool m_acceptsPatches = true; ///< False after one that did not fit, until an answer is taken.
-    bool m_copyExpected = false;  ///< A source that has the copies has answered.
-    std::optional<TimePoint> m_suggestedAt; ///< While this daemon has no copy.
-    std::optional<TimePoint> m_staleSince;  ///< First answer with old copies since the last fresh.
+    /// False after one that didn't match, until an answer is applied.
+    bool m_acceptsPatches = true;
+    bool m_copyExpected = false;            ///< A source that has the copies has answered.
+    std::optional<TimePoint> m_suggestedAt; ///< Last trySource() while this daemon was empty.
+    std::optional<TimePoint> m_staleSince;  ///< First stale answer since the last fresh one.
+    /// Incremented to invalidate pending callbacks.
     std::shared_ptr<std::uint64_t> m_generation = std::make_shared<std::uint64_t>(0);
 };
 
--- a/src/core/directory/peer_view.h
+++ b/src/core/directory/peer_view.h
@@ -103,7 +103,7 @@
     Duration age{0}; ///< Time since the store confirmed the older copy.
     Lineage lineage; ///< Of the answering daemon.
     /// The querying daemon has one of the few follower slots of the answering one. While the copy
-    /// is stale, every daemon is answered, and only those with a slot query the store themselves.
+    /// is stale, only daemons with a slot query the store themselves.
     bool hasSlot = true;
     bool isEmpty = false; ///< It has no copies itself yet and waits for them.
     /// Followers of the answering daemon, whose follower slots are all taken.
--- a/src/core/directory/source_list.cpp
+++ b/src/core/directory/source_list.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Sources that other daemons have named are kept up to this many; the oldest goes first.
+/// Bound of the list; beyond it the oldest source named by another daemon is evicted.
 constexpr std::size_t MaxSources = 12;
-/// A source of the own failure domain that had no place is not preferred for so long: hundreds that
-/// have found places elsewhere would ask its root again and again.
+/// A source of the local failure domain that had no follower slot is not preferred for this long:
+/// hundreds of daemons that have found slots elsewhere would query their domain's root over and
+/// over.
 constexpr Duration RedirectedPenalty = 5min;
 
 } // namespace
@@ -23,7 +24,8 @@
         m_sources.emplace_back();
         m_sources.back().address = root;
     }
-    // Each begins at another one: else the first would send nearly all of them on to its followers.
+    // Each daemon begins at another root: otherwise the first one would redirect nearly all of them
+    // to its followers.
     if (m_sources.empty())
         return;
     const std::size_t first = hash_value(own) % m_sources.size();
@@ -39,15 +41,15 @@
     return found == m_sources.end() ? nullptr : &*found;
 }
 
-// The one that answered last goes on, unless one of the own domain may have a place. One that is
-// not known to be near is no reason to leave: daemons that went through all names they had heard of
-// took places everywhere and stayed nowhere.
+// The source that answered last is kept, unless one of the local domain may have a follower slot. A
+// source that is not known to be local is no reason to switch: daemons that tried every name they
+// learned took slots everywhere and stayed nowhere.
 int SourceList::rank(const Source &source, const Endpoint &last, TimePoint now) const
 {
     const bool isLast = source.address == last;
     const bool full = source.redirectedAt && now - *source.redirectedAt < RedirectedPenalty;
     if (source.staleAt && now - *source.staleAt < m_retryStaleAfter)
-        return 5; // It knows no more yet; those that it named wait with it.
+        return 5; // It has nothing newer yet; its followers wait with it.
     if (source.domain == m_domain && !full)
         return isLast ? 0 : 1;
     if (isLast)
@@ -61,7 +63,7 @@
     for (Source &source : m_sources) {
         if (failedRecently(source, now))
             continue;
-        // Of equals the one that was named last: it is further down, where seats are free.
+        // Of equals the one named last: it is further down the tree, where follower slots are free.
         if (!best || rank(source, last, now) <= rank(*best, last, now))
             best = &source;
     }
@@ -87,8 +89,8 @@
     return out;
 }
 
-// One that is known keeps what is known of it: two daemons that send this one on to each other
-// would else have it ask as fast as the network goes.
+// What is known of a known source is retained: two daemons that redirect this one to each other
+// would otherwise make it query as fast as the network allows.
 void SourceList::add(const PeerReferral &named)
 {
     if (find(named.address))
--- a/src/core/directory/source_list.h
+++ b/src/core/directory/source_list.h
@@ -10,24 +10,25 @@
 
 namespace baobabtrail {
 
-/// \brief A daemon that may be asked for copies.
+/// \brief A daemon that may be queried for copies.
 struct Source
 {
     Endpoint address;
-    std::optional<std::string> domain; ///< Unknown until it is named with it, or answers.
+    /// Unknown until the daemon is referred to with it, or answers.
+    std::optional<std::string> domain;
     std::optional<TimePoint> failedAt;
-    std::optional<TimePoint> redirectedAt; ///< It had no place, and named others.
-    std::optional<TimePoint> staleAt;      ///< Its copy was out of date.
-    bool hasSlot = false;                  ///< It answers this daemon while all is well.
+    std::optional<TimePoint> redirectedAt; ///< It had no follower slot and redirected this daemon.
+    std::optional<TimePoint> staleAt;      ///< Its copy was stale.
+    bool hasSlot = false;                  ///< This daemon has a follower slot there.
     bool root = true;                      ///< Named by the settings, not by another daemon.
 };
 
-/// \brief Daemons that one daemon may ask for copies, and which one comes next.
+/// \brief The daemons that may be queried for copies, and the choice of the next one.
 class SourceList
 {
 public:
-    /// \param forget Until a source that failed is tried again.
-    /// \param retryStaleAfter Until a root whose copy was out of date is looked at again.
+    /// \param retryFailedAfter Until a source that failed is queried again.
+    /// \param retryStaleAfter Until a root whose copy was stale is queried again.
     SourceList(std::string domain, Duration retryFailedAfter, Duration retryStaleAfter)
         : m_domain(std::move(domain))
         , m_retryFailedAfter(retryFailedAfter)
@@ -35,20 +36,21 @@
     {
     }
 
-    /// \brief Starts anew with the roots, less the daemon itself.
+    /// \brief Replaces all sources by the roots, without the daemon itself.
     void reset(const std::vector<Endpoint> &roots, const Endpoint &own);
     /// \return The source, or null.
     [[nodiscard]] Source *find(const Endpoint &address);
-    /// \param last The one that answered last.
-    /// \return The best source that has not failed lately, or null.
+    /// \param last The source that answered last.
+    /// \return The best source that has not failed recently, or null.
     [[nodiscard]] Source *choose(const Endpoint &last, TimePoint now);
-    /// \return A root that may have a younger copy, or null.
+    /// \return A root that may have a fresher copy, or null.
     [[nodiscard]] Source *untriedRoot(TimePoint now);
     [[nodiscard]] std::vector<Endpoint> roots() const;
-    /// \brief Another daemon has named this one.
+    /// \brief Adds a daemon that another one has referred to.
     void add(const PeerReferral &named);
+    /// \brief Erases all sources but the roots.
     void eraseReferred();
-    /// \brief All may be tried again at once.
+    /// \brief Makes all sources eligible again at once.
     void clearFailures();
     [[nodiscard]] bool empty() const noexcept { return m_sources.empty(); }
     [[nodiscard]] bool allFailed() const;
@@ -58,7 +60,7 @@
     {
         return source.failedAt && now - *source.failedAt < m_retryFailedAfter;
     }
-    /// \return The lower the better.
+    /// \return The rank of a source; the lowest is the best.
     [[nodiscard]] int rank(const Source &source, const Endpoint &last, TimePoint now) const;
 
     std::string m_domain;
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// Largest page that is asked for; the store's own bound is about this.
+/// Page size of a list; about the store's own limit.
 constexpr std::uint32_t PageObjects = 500;
 /// A watch that returns without a change sooner than this is not repeated at once: the store may
-/// answer each one so, and calls are priced.
+/// answer every watch like that, and calls are priced.
 constexpr Duration MinWatch = 200ms;
-/// Longest answer of a watch: so many bytes, a fraction of a second over the thinnest link, and so
-/// many times the values of the copy, what a list brings with what the store says around them.
+/// The answer of a watch may be as large as this, a fraction of a second over the thinnest link,
+/// plus this many times the copy's values, about the size of a list with the store's metadata.
 constexpr std::uint64_t WatchBaseBytes = 64 << 10;
 constexpr std::uint64_t WatchSizeFactor = 2;
-/// Wait of a watch that settles a list, or confirms a copy: the shortest that the store takes.
+/// Wait of a watch that completes a list or confirms a copy: the shortest that the store accepts.
 constexpr Duration ConfirmWait = 1ms;
 
-/// \brief Brings listed objects to the state that a watch from their version tells.
+/// \brief Applies the changes of a watch to the listed objects.
 void apply(const ObjectList &news, std::vector<StoredObject> &listed)
 {
     const auto known = [&](const StoredObject &object) {
@@ -97,8 +97,8 @@
                      });
 }
 
-// The first page is never old: most collections have no other one, and then need no watch to be
-// true.
+// The first page is always a consistent read: most collections have no other page, and then need no
+// watch to be up to date.
 void StoreFeed::list()
 {
     ListObjects request{m_prefix, m_pages.empty() ? m_prefix : m_pages.back().key, PageObjects};
@@ -111,14 +111,14 @@
 {
     auto *page = std::get_if<ObjectList>(&result);
     if (!page) {
-        // The pages that came are kept: over a link that is full, one of many is late each time,
-        // and a list that began anew never ended.
+        // The pages received so far are retained: over a saturated link one of many is late each
+        // time, and a list that restarted would never complete.
         onFailure(result, m_pages.empty() ? m_backoff : m_pageBackoff, &StoreFeed::list);
         return;
     }
     m_pageReceived = true;
     m_pageBackoff.reset();
-    // Changes made while the pages are read come with the watch: it begins at the oldest page.
+    // Changes made while the pages are read come with the watch, which begins at the oldest page.
     m_pagesVersion = m_pages.empty() ? page->latest : std::min(m_pagesVersion, page->latest);
     std::move(page->objects.begin(), page->objects.end(), std::back_inserter(m_pages));
     if (page->more && !page->objects.empty()) {
@@ -165,7 +165,7 @@
     const std::vector<StoredObject> listed = std::exchange(m_pages, {});
     m_consistent = false;
     if (m_pagesVersion < m_copy.version()) {
-        // A peer was faster, or the answer is older than what is in force.
+        // A peer was faster, or the answer is older than the copy.
         m_contact(StoreCallResult{});
         schedule(m_backoff.next(m_random, Duration{0}), &StoreFeed::list);
         return;
@@ -181,10 +181,10 @@
         watch();
 }
 
-// A watch tells each version of an object, and over a thin link more of them come about while one
-// answer passes than it brings: the copy then never catches up. A list has the newest version of
-// each object only, so that it is asked for where a watch would bring more. The first watch ends at
-// once: those that have their copies from here wait for the word that they are true again.
+// A watch returns each version of an object, and over a thin link more versions may be written
+// while an answer is transferred than it contains, so that the copy never catches up. A list has
+// only the newest version of each object, so it is used where a watch would return more. The first
+// watch ends at once: followers wait for the confirmation of the copy.
 void StoreFeed::watch()
 {
     const std::uint64_t most = WatchBaseBytes + WatchSizeFactor * m_copy.bytes();
@@ -234,7 +234,7 @@
     const auto *failure = std::get_if<PlatformFailure>(&result);
     const bool listing = std::exchange(m_pageReceived, false);
     m_contact(
-        {failure ? failure->what : "the store's answer does not fit the call", false, listing});
+        {failure ? failure->what : "unexpected type of answer from the store", false, listing});
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
     schedule(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), again);
 }
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -13,70 +13,74 @@
 
 namespace baobabtrail {
 
-/// \brief Times of a StoreFeed.
+/// \brief Timeouts and intervals of a StoreFeed.
 struct StoreFeedSettings
 {
-    /// One watch. A store or a connection that ignores it silently costs this long and the call's
-    /// timeout on top: together less than the three seconds after which a change has to be in
-    /// force. It is also the age up to which a copy is known to be the store's state.
+    /// Wait of one watch. A store or connection that silently drops it costs this and the call's
+    /// timeout: together less than the three seconds after which a change has to be in force. It is
+    /// also the age up to which a copy is known to match the store.
     Duration watchWait = 1500ms;
-    /// Pause after a watch that brought changes. Changes come in groups (a target that leaves is
-    /// written three times); a watch for each would cost a call for each.
+    /// Pause after a watch that returned changes. Changes come in groups (a target that leaves is
+    /// written three times); without the pause each would cost a call of its own.
     Duration batchDelay = 300ms;
     Duration firstRetry = 100ms; ///< After a failed call; doubles, with jitter.
     Duration maxRetry = 1s;
-    /// A list that comes this soon after an outage may lack targets that live: they register again
-    /// within two seconds of the store's return. Half a second more for their way here.
+    /// A list read this soon after an outage may lack live targets: they register again within two
+    /// seconds of the store's return. Half a second more is for propagation.
     Duration returnGrace = 2500ms;
-    /// A daemon that has its copy from others asks the store seldom, when both fail: hundreds that
-    /// ask a store which is away cost more than they find out.
+    /// A daemon that usually gets its copy from others retries the store at a low rate when both
+    /// fail: hundreds of daemons that query an unavailable store cost more than they find out.
     Duration firstLowRateRetry = 2s;
-    /// Its first watch after a list waits so long: others may answer for the copy from then on.
+    /// Pause before such a daemon's first watch after a list: other daemons may provide the copy
+    /// from then on.
     Duration lowRatePause = 1s;
     Duration maxLowRateRetry = 8s;
 };
 
-/// \brief What a feed needs of its surroundings; tests pass a virtual clock and a store of theirs.
+/// \brief Clock, timers and store client of a StoreFeed; tests pass a virtual clock and a fake
+/// store.
 struct StoreFeedCallbacks
 {
     std::function<TimePoint()> now;
     /// Calls back later, never from within the call.
     std::function<void(Duration, std::function<void()>)> after;
-    /// Calls the store; the handler is called once, later.
+    /// Calls the store; the handler is called once, asynchronously.
     std::function<void(const PlatformRequest &, std::function<void(PlatformResult)>)> call;
 };
 
-/// \brief How a call of a feed ended.
+/// \brief How a call to the store ended.
 struct StoreCallResult
 {
-    std::string failure;      ///< Empty for a success.
-    bool historyGone = false; ///< The store no longer has the changes that a watch waited for.
-    bool listing = false;     ///< A failure between pages of a list, of which one came just before.
+    std::string failure;      ///< Empty on success.
+    bool historyGone = false; ///< The store no longer has the changes that a watch asked for.
+    /// The call failed between two pages of a list, after at least one page since the last failure.
+    bool listing = false;
 };
 
-/// \brief Keeps a copy of a collection up to date from the store: lists it once, then watches.
+/// \brief Keeps a copy of a collection up to date from the store: lists it once, then watches it.
 ///
-/// Of a list with several pages all but the first may be seconds old, which is cheap; a watch from
-/// the oldest page's version then brings what they lack, before the list is taken. When the store
-/// is away the last copy stays in force.
+/// In a list with several pages, all but the first may be read from an old replica, seconds old,
+/// which is cheap; a watch from the oldest page's version then fetches what they lack before the
+/// list is applied. While the store is unavailable, the last copy stays in force.
 class StoreFeed
 {
 public:
     using Changed = std::function<void(const CollectionChange &)>;
     using Contact = std::function<void(const StoreCallResult &)>;
 
-    /// \param prefix Prefix of the collection's keys. \param changed Called for each change and for
-    /// the first complete list. \param contact Told of each end of a call.
+    /// \param prefix Prefix of the collection's keys.
+    /// \param changed Called for each change and for the first complete list.
+    /// \param contact Called at the end of each call to the store.
     StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks callbacks,
               Random &random, CollectionCopy &copy, Changed changed, Contact contact);
     StoreFeed(const StoreFeed &) = delete;
     StoreFeed &operator=(const StoreFeed &) = delete;
 
-    /// \brief Starts, or gives up what is under way and asks anew: after the process stood still, a
-    /// call may wait on a connection that nobody answers any more.
-    /// \param lowRate Failed calls are repeated after longer times.
+    /// \brief Starts, or abandons the pending call and restarts: after a stall of the process, a
+    /// call may wait on a dead connection.
+    /// \param lowRate Retries failed calls at longer intervals.
     void start(bool lowRate = false);
-    /// \brief Gives up the watch that waits and asks at once; does nothing where none is running.
+    /// \brief Abandons the pending watch and calls the store at once; does nothing while stopped.
     void refresh();
     void stop();
     [[nodiscard]] bool running() const noexcept { return m_running; }
@@ -84,10 +88,10 @@
 private:
     void list();
     void onPage(TimePoint asked, PlatformResult result);
-    /// \brief Asks for what changed since the pages of the list.
+    /// \brief Fetches the changes since the pages of the list.
     void catchUp();
     void onCaughtUp(TimePoint asked, PlatformResult result);
-    /// \brief Begins anew with pages that are not old.
+    /// \brief Restarts the list with consistent reads for all pages.
     void listConsistent();
     void applyList(TimePoint asked);
     void watch();
@@ -106,16 +110,17 @@
     Changed m_changed;
     Contact m_contact;
     Backoff m_backoff;
-    Backoff m_pageBackoff; ///< Between tries of one page, where those before it came.
+    Backoff m_pageBackoff; ///< Between retries of one page, after the first page arrived.
 
-    std::vector<StoredObject> m_pages; ///< Of the list that is under way.
-    ObjectVersion m_pagesVersion;      ///< Of its oldest page.
-    bool m_pagesMayBeOld = false;      ///< One of them.
-    bool m_consistent = false;         ///< No page of this list may be old.
-    bool m_lowRate = false;            ///< This daemon has its copy from others as a rule.
+    std::vector<StoredObject> m_pages; ///< Of the pending list.
+    ObjectVersion m_pagesVersion;      ///< Version of the oldest page.
+    bool m_pagesMayBeOld = false;      ///< The last page may come from an old replica.
+    bool m_consistent = false;         ///< The pending list uses consistent reads only.
+    bool m_lowRate = false;            ///< This daemon usually gets its copy from others.
     bool m_confirmOnly = false;        ///< The next watch only confirms the copy.
     bool m_pageReceived = false;       ///< Since the last failure.
     bool m_running = false;
+    /// Incremented to invalidate pending callbacks.
     std::shared_ptr<std::uint64_t> m_generation = std::make_shared<std::uint64_t>(0);
 };
 
--- a/src/core/directory/view_relay.cpp
+++ b/src/core/directory/view_relay.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Within this time a daemon that was sent to a root has not tried it in vain: a question that gets
-/// no answer takes 400 ms.
+/// A daemon that was redirected to its local root and returns within this time has not tried it in
+/// vain: a query without an answer takes 400 ms.
 constexpr Duration LocalRootTryTime = 300ms;
-/// Daemons that are named to one that is sent on.
+/// Daemons that are named to a redirected one.
 constexpr std::size_t MaxReferrals = 3;
-/// Without anybody to be sent on for so long, a daemon no longer turns others away.
+/// An overflow ends when no daemon was redirected for this long.
 constexpr Duration OverflowEndsAfter = 5s;
-/// A return of the store is told for so long: what lapsed is back, or gone, within three seconds,
-/// and news may be two seconds old.
+/// A return of the store is reported for this long: lapsed targets are back, or gone, within three
+/// seconds, and news may be two seconds old.
 constexpr Duration ReturnReportedFor = 10s;
 
 } // namespace
@@ -89,7 +89,8 @@
 {
     if (query.lacksCopy())
         return true;
-    // One that asks a moment after the others were told would hear a whole wait later, at each hop.
+    // Otherwise a query that arrives just after the others were notified would learn of the
+    // heartbeat a whole wait later, at each hop.
     const Lineage lineage = m_callbacks.lineage();
     if (!lineage.origin.isNull() && lineage.origin == query.origin
         && lineage.heartbeat >= query.heartbeat + MinHeartbeatAdvance)
@@ -100,8 +101,8 @@
                        });
 }
 
-// Where all daemons start at once, those that ask take their places before there is anything to
-// give, and wait: sent away, hundreds would come again and again.
+// Where all daemons start at once, those that query take follower slots before there is anything to
+// answer, and wait: if they were sent away, hundreds would return over and over.
 void ViewRelay::handleEmpty(const PeerQuery &query, Reply reply)
 {
     if (!query.lacksCopy()) {
@@ -175,8 +176,9 @@
     return std::nullopt;
 }
 
-// Trees that stay within a failure domain outlive its being cut off, and don't cross the dear
-// links. One that comes back after a try can't reach the root of its own domain, and is taken here.
+// Trees that stay within a failure domain survive when it is cut off, and don't cross the expensive
+// links between domains. A daemon that returns after a try can't reach the root of its domain, and
+// gets a slot here.
 std::optional<PeerReferral> ViewRelay::localRoot(const PeerQuery &query)
 {
     const TimePoint now = m_callbacks.now();
@@ -206,7 +208,7 @@
     std::erase_if(m_followers, [&](const auto &item) {
         return now - item.second.seenAt > m_settings.followerTimeout;
     });
-    // Other roots are always answered, and must not take the places of followers.
+    // Other roots are always answered and must not take follower slots.
     const auto taken
         = std::count_if(m_followers.begin(), m_followers.end(),
                         [this](const auto &item) { return !m_callbacks.isRoot(item.first); });
@@ -219,8 +221,8 @@
     return true;
 }
 
-// By turns, so that the tree fills evenly: sent on at random, daemons that started together ended
-// far from the store.
+// Followers are named in turn, so that the tree fills evenly: with random referrals, daemons that
+// started together ended up far from the store.
 std::vector<PeerReferral> ViewRelay::followerReferrals(const std::string &domain)
 {
     std::vector<std::pair<Endpoint, Follower *>> ranked;
@@ -240,7 +242,7 @@
     }
     if (!ranked.empty())
         ++ranked.front().second->referrals;
-    std::reverse(named.begin(), named.end()); // The asking daemon prefers what it heard of last.
+    std::reverse(named.begin(), named.end()); // The querying daemon prefers the last one.
     return named;
 }
 
@@ -272,7 +274,7 @@
 {
     std::vector<WaitingQuery> due;
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
-        // A copy is confirmed a moment after it came.
+        // A copy is confirmed a moment after it was applied.
         const bool waits = !complete(it->query) || (it->query.lacksCopy() && !ageOf(it->query));
         if (waits) {
             ++it;
