--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -81,11 +81,12 @@
 
 void PeerFeed::schedule(Duration wait)
 {
-    m_callbacks.after(wait, [this, run = std::weak_ptr{m_generation}, mine = *m_generation] {
-        const auto current = run.lock();
-        if (current && *current == mine)
-            queryNext();
-    });
+    m_callbacks.after(wait,
+                      [this, generation = std::weak_ptr{m_generation}, expected = *m_generation] {
+                          const auto current = generation.lock();
+                          if (current && *current == expected)
+                              queryNext();
+                      });
 }
 
 void PeerFeed::checkAllFailed()
@@ -156,16 +157,17 @@
 
 void PeerFeed::sendQuery(const Endpoint &source, QueryKind kind)
 {
-    const PeerQuery asked = makeQuery(kind, source);
-    const QueryReport end{source, m_copies.version(), asked.wait};
-    m_callbacks.ask(source, asked, timeoutsFor(asked.wait),
-                    [this, end, askedAt = m_callbacks.now(), kind,
-                     run = std::weak_ptr{m_generation}, mine = *m_generation](PeerResult result) {
-                        const auto current = run.lock();
-                        if (!current || *current != mine)
+    const PeerQuery query = makeQuery(kind, source);
+    const QueryReport end{source, m_copies.version(), query.wait};
+    m_callbacks.ask(source, query, timeoutsFor(query.wait),
+                    [this, end, sentAt = m_callbacks.now(), kind,
+                     generation = std::weak_ptr{m_generation},
+                     expected = *m_generation](PeerResult result) {
+                        const auto current = generation.lock();
+                        if (!current || *current != expected)
                             return;
                         QueryReport ended = end;
-                        ended.took = m_callbacks.now() - askedAt;
+                        ended.took = m_callbacks.now() - sentAt;
                         ended.bytes = result.bytes;
                         onResult(std::move(ended), kind, std::move(result));
                     });
--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -78,23 +78,24 @@
 
 void StoreFeed::schedule(Duration wait, void (StoreFeed::*step)())
 {
-    m_callbacks.after(wait, [this, step, run = std::weak_ptr{m_generation}, mine = *m_generation] {
-        const auto current = run.lock();
-        if (current && *current == mine)
-            (this->*step)();
-    });
+    m_callbacks.after(
+        wait, [this, step, generation = std::weak_ptr{m_generation}, expected = *m_generation] {
+            const auto current = generation.lock();
+            if (current && *current == expected)
+                (this->*step)();
+        });
 }
 
 void StoreFeed::call(const PlatformRequest &request,
                      void (StoreFeed::*done)(TimePoint, PlatformResult))
 {
-    m_callbacks.call(request,
-                     [this, done, asked = m_callbacks.now(), run = std::weak_ptr{m_generation},
-                      mine = *m_generation](PlatformResult result) {
-                         const auto current = run.lock();
-                         if (current && *current == mine)
-                             (this->*done)(asked, std::move(result));
-                     });
+    m_callbacks.call(request, [this, done, m_callbacks = calledAt = m_callbacks = m_callbacks.now(),
+                               generation = std::weak_ptr{m_generation},
+                               expected = *m_generation](PlatformResult result) {
+        const auto current = generation.lock();
+        if (current && *current == expected)
+            (this->*done)(calledAt, std::move(result));
+    });
 }
 
 // The first page is always a consistent read: most collections have no other page, and then need no
@@ -107,7 +108,7 @@
     call(request, &StoreFeed::onPage);
 }
 
-void StoreFeed::onPage(TimePoint asked, PlatformResult result)
+void StoreFeed::onPage(TimePoint calledAt, PlatformResult result)
 {
     auto *page = std::get_if<ObjectList>(&result);
     if (!page) {
@@ -128,7 +129,7 @@
     if (m_pagesMayBeOld)
         catchUp();
     else
-        applyList(asked);
+        applyList(calledAt);
 }
 
 void StoreFeed::catchUp()
@@ -136,7 +137,7 @@
     call(WatchObjects{m_prefix, m_pagesVersion, ConfirmWait}, &StoreFeed::onCaughtUp);
 }
 
-void StoreFeed::onCaughtUp(TimePoint asked, PlatformResult result)
+void StoreFeed::onCaughtUp(TimePoint calledAt, PlatformResult result)
 {
     if (std::holds_alternative<HistoryCompacted>(result)) {
         listConsistent();
@@ -149,7 +150,7 @@
     }
     apply(*news, m_pages);
     m_pagesVersion = news->latest;
-    applyList(asked);
+    applyList(calledAt);
 }
 
 void StoreFeed::listConsistent()
@@ -159,7 +160,7 @@
     list();
 }
 
-void StoreFeed::applyList(TimePoint asked)
+void StoreFeed::applyList(TimePoint calledAt)
 {
     onSuccess();
     const std::vector<StoredObject> listed = std::exchange(m_pages, {});
@@ -173,7 +174,7 @@
     m_confirmOnly = false;
     if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, storeReturnedRecently()))
         m_changed(*change);
-    m_copy.confirm(asked);
+    m_copy.confirm(calledAt);
     m_contact(StoreCallResult{});
     if (m_lowRate)
         schedule(m_settings.lowRatePause, &StoreFeed::watch);
@@ -192,7 +193,7 @@
     call(WatchObjects{m_prefix, m_copy.version(), wait, most}, &StoreFeed::onWatch);
 }
 
-void StoreFeed::onWatch(TimePoint asked, PlatformResult result)
+void StoreFeed::onWatch(TimePoint calledAt, PlatformResult result)
 {
     if (std::holds_alternative<HistoryCompacted>(result)) {
         m_contact({{}, true});
@@ -220,7 +221,8 @@
         m_changed(*change);
     m_copy.confirm(m_callbacks.now());
     m_contact(StoreCallResult{});
-    const bool tooShort = !confirmed && m_callbacks.now() - asked < MinWatch;
+    const bool tooShort = !confirmed && m_callbacks.now() - m_callbacks = calledAt
+        = m_callbacks < MinWatch;
     if (changed || tooShort)
         schedule(m_settings.batchDelay, &StoreFeed::watch);
     else
@@ -228,7 +230,7 @@
 }
 
 void StoreFeed::onFailure(const PlatformResult &result, Backoff &backoff,
-                          void (StoreFeed::*again)())
+                          void (StoreFeed::*retry)())
 {
     m_copy.storeFailed(m_callbacks.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
@@ -236,7 +238,7 @@
     m_contact(
         {failure ? failure->what : "unexpected type of answer from the store", false, listing});
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
-    schedule(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), again);
+    schedule(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), retry);
 }
 
 void StoreFeed::onSuccess()
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -87,16 +87,16 @@
 
 private:
     void list();
-    void onPage(TimePoint asked, PlatformResult result);
+    void onPage(TimePoint calledAt, PlatformResult result);
     /// \brief Fetches the changes since the pages of the list.
     void catchUp();
-    void onCaughtUp(TimePoint asked, PlatformResult result);
+    void onCaughtUp(TimePoint calledAt, PlatformResult result);
     /// \brief Restarts the list with consistent reads for all pages.
     void listConsistent();
-    void applyList(TimePoint asked);
+    void applyList(TimePoint calledAt);
     void watch();
-    void onWatch(TimePoint asked, PlatformResult result);
-    void onFailure(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*again)());
+    void onWatch(TimePoint calledAt, PlatformResult result);
+    void onFailure(const PlatformResult &result, Backoff &backoff, void (StoreFeed::*retry)());
     void onSuccess();
     void schedule(Duration wait, void (StoreFeed::*step)());
     void call(const PlatformRequest &request, void (StoreFeed::*done)(TimePoint, PlatformResult));
