--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -89,7 +89,7 @@
 void StoreFeed::call(const PlatformRequest &request,
                      void (StoreFeed::*done)(TimePoint, PlatformResult))
 {
-    m_callbacks.call(request, [this, done, m_callbacks = calledAt = m_callbacks = m_callbacks.now(),
+    m_callbacks.call(request, [this, done, calledAt = m_callbacks.now(),
                                generation = std::weak_ptr{m_generation},
                                expected = *m_generation](PlatformResult result) {
         const auto current = generation.lock();
@@ -221,8 +221,7 @@
         m_changed(*change);
     m_copy.confirm(m_callbacks.now());
     m_contact(StoreCallResult{});
-    const bool tooShort = !confirmed && m_callbacks.now() - m_callbacks = calledAt
-        = m_callbacks < MinWatch;
+    const bool tooShort = !confirmed && m_callbacks.now() - calledAt < MinWatch;
     if (changed || tooShort)
         schedule(m_settings.batchDelay, &StoreFeed::watch);
     else
