--- a/tests/directory/cluster_outage_test.cpp
+++ b/tests/directory/cluster_outage_test.cpp
@@ -5,9 +5,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// The store compacts its history: watches hear nothing for a second while a target is drained,
-// and are then dropped without a word. The drained target must be known within the bound that
-// holds 4 s after the fault.
+// The store compacts its history: watches miss the events of one second, in which a target is
+// drained, and are then dropped silently. The drain has to be known within the bound of 4 s after
+// the fault.
 Test(directory, aWatchThatIsDroppedSilentlyIsReplacedInTime)
 {
     for (Duration phase = 0ms; phase < 3s; phase += 100ms) {
@@ -23,7 +23,8 @@
     }
 }
 
-// Two of three roots die, and then the third. The others go on with the store alone.
+// Two of three roots fail, and then the third. The other daemons have to continue with the store
+// alone.
 Test(directory, withoutRootsEveryDaemonAsksTheStore)
 {
     DirectCluster cluster{12, 3, 8};
@@ -36,7 +37,7 @@
     cr_assert_eq(placing(cluster, 1), 0);
 }
 
-// The store is down and one daemon is replaced. It takes the view of the others, however old.
+// The store is down and a daemon is replaced. It has to serve from its peers' copies, however old.
 Test(directory, aNewProcessTakesTheViewOfThePeersWhileTheStoreIsDown)
 {
     DirectCluster cluster{8, 3, 9};
@@ -53,8 +54,8 @@
     }
 }
 
-// All daemons are killed while the store is down: nobody knows anything. Once it is back, all
-// are ready soon, and no storm of calls greets it.
+// All daemons are killed while the store is down, so that no copy is left. Once it is back, all
+// have to be ready soon, without a thundering herd of calls.
 Test(directory, allDaemonsKilledWhileTheStoreIsDown)
 {
     DirectCluster cluster{30, 3, 10};
@@ -72,10 +73,10 @@
     cr_assert(cluster.time.runUntil([&] { return allReady(cluster); }, 1500ms));
 }
 
-// Sixty daemons with thin links are killed at once: a whole copy takes three seconds to pass one of
-// them. When each asks its peers for one too, and gives up after a tenth of a second, what nobody
-// waits for any more fills the links, and callers wait for half a minute. The store is well and has
-// a wide link.
+// Sixty daemons with thin links are killed at once: a complete copy takes three seconds to pass one
+// of these links. Guards against each daemon also requesting one from its peers and abandoning it
+// after a tenth of a second: abandoned transfers then fill the links, and callers wait for half a
+// minute. The store is available and has a wide link.
 Test(directory, allDaemonsKilledWithThinLinksServeSoon)
 {
     constexpr std::uint64_t targets = 3000;
@@ -94,8 +95,9 @@
     expectAllFresh(cluster);
 }
 
-// The same, and the store is away: a daemon that starts alone has only its peers. It gets the whole
-// copy from one of them, though that takes thirty times as long as a peer takes to answer.
+// As above, with the store unavailable: a daemon that starts alone has only its peers. It has to
+// get the complete copy from one of them, though that takes thirty times as long as a peer takes to
+// answer.
 Test(directory, aWholeCopyComesFromAPeerOverAThinLink)
 {
     constexpr std::uint64_t targets = 3000;
@@ -110,8 +112,8 @@
     cr_assert(cluster.time.runUntil([&] { return cluster.node(6)->ready(); }, 4500ms));
 }
 
-// The store is away from all for ten seconds. The followers hear from the roots that their copies
-// grow old; if all of them asked the store then, hundreds would, again and again.
+// The store is unavailable to all daemons for ten seconds. Guards against hundreds of followers
+// that query the store over and over because their roots' copies become stale.
 Test(directory, anOutageDoesNotSendEverybodyToTheStore)
 {
     DirectCluster cluster{91, 3, 14};
@@ -123,19 +125,18 @@
     cluster.time.run(10s);
     const std::uint64_t calls = cluster.store.calls() - before;
     const std::uint64_t asks = cluster.asks - asksBefore;
-    cr_assert_leq(asks, 91 * 10 * 20, "%lu questions in 10 s", asks);
-    // Three roots that try each second make 80; 88 followers look for themselves three times in
-    // this time, at growing intervals, in case that the store is away for their roots alone: 528.
+    cr_assert_leq(asks, 91 * 10 * 20, "%lu queries in 10 s", asks);
+    // Three roots that retry each second make 80 calls; 88 followers query the store themselves
+    // three times in this time, at growing intervals, in case only their roots can't reach it: 528.
     cr_assert_leq(calls, 700, "%lu calls", calls);
     cluster.store.down = false;
     cluster.time.run(3s);
     expectAllFresh(cluster);
 }
 
-// The store is away from all for ten seconds, at the size to design for. If every follower looked
-// for itself, 1,254 calls would fall into less than half a second, and again later; and if every
-// one left the daemon that it has its copy from, the three roots would be asked hundreds of times a
-// second.
+// The store is unavailable to all daemons for ten seconds, at design size. If each follower queried
+// it, 1,254 calls would fall into less than half a second, and later again; if each left its
+// source, the three roots would get hundreds of queries a second.
 Test(directory, anOutageAtSixHundredDaemonsIsLookedAtByFew)
 {
     DirectCluster cluster{630, 3, 16};
@@ -148,22 +149,23 @@
         askedBefore.push_back(cluster.askedOf(root));
     cluster.time.run(10s);
     const std::uint64_t calls = cluster.store.calls() - before;
-    // Three roots that try each second make 80. Of each collection 12 daemons have seats at a root;
-    // each looks up to four times in this time: 96. The rest is for seats that change hands.
+    // Three roots that retry each second make 80 calls. For each collection 12 daemons have a
+    // follower slot at a root; each queries the store up to four times in this time: 96. The rest
+    // is for slots that change hands.
     cr_assert_leq(calls, 300, "%lu calls", calls);
     for (std::size_t root = 0; root < 3; ++root) {
         const std::uint64_t asked = cluster.askedOf(root) - askedBefore[root];
-        cr_assert_leq(asked, 10 * 60, "%lu questions to a root in 10 s", asked);
+        cr_assert_leq(asked, 10 * 60, "%lu queries to a root in 10 s", asked);
     }
     cluster.store.down = false;
     cluster.time.run(3s);
     expectAllFresh(cluster);
 }
 
-// The store refuses all roots and every third daemon, and serves the others, at the size to design
-// for. A few of those that it serves look for themselves; the roots hear of it from them, and with
-// the roots all others, also those that the store refuses. A drain has to be known within three
-// seconds.
+// The store refuses all roots and every third daemon, and serves the others, at design size. A few
+// of those that it serves query it themselves; the roots learn of the change from them, and all
+// other daemons from the roots, including those that the store refuses. A drain has to be known
+// within three seconds.
 Test(directory, refusedRootsHearOfAChangeFromTheirFollowers)
 {
     DirectCluster cluster{630, 3, 17};
@@ -173,7 +175,7 @@
         if (index < 3 || index % 3 == 0)
             cluster.store.refused.insert(index);
     }
-    cluster.store.compact(); // Ends the watches that wait.
+    cluster.store.compact(); // Ends the pending watches.
     const std::uint64_t before = cluster.store.calls();
     addTarget(cluster, 1, "x draining");
     cluster.time.run(3s);
@@ -182,8 +184,8 @@
     cr_assert_leq(calls, 200, "%lu calls", calls);
 }
 
-// The store refuses some daemons, roots among them, and serves the others. Those hear of a change
-// from the others.
+// The store refuses some daemons, roots among them, and serves the others. The refused ones have to
+// learn of a change from the others.
 Test(directory, refusedDaemonsHearFromTheOthers)
 {
     DirectCluster cluster{12, 3, 11};
@@ -196,9 +198,9 @@
     cr_assert_eq(placing(cluster, 1), 0);
 }
 
-// The store refuses all three roots and serves the others. Each follower hears that its root's copy
-// grows old, and has to know of a change within three seconds all the same: its own way to the
-// store is well.
+// The store refuses all three roots and serves the others. Each follower sees that its root's copy
+// becomes stale, and still has to learn of a change within three seconds: it can reach the store
+// itself.
 Test(directory, followersOfRefusedRootsAskTheStoreInTime)
 {
     for (Duration phase = 0ms; phase < 1600ms; phase += 100ms) {
@@ -206,14 +208,14 @@
         addTarget(cluster, 1);
         cluster.time.run(10s + phase);
         cluster.store.refused = {0, 1, 2};
-        cluster.store.compact(); // Ends the watches that wait.
+        cluster.store.compact(); // Ends the pending watches.
         addTarget(cluster, 1, "x draining");
         cluster.time.run(3s);
         cr_assert_leq(placing(cluster, 1), 3, "%zu daemons", placing(cluster, 1));
     }
 }
 
-// The store loses track of some daemons' connections: their watches wait in vain.
+// The store loses track of some daemons' connections, so that their watches never return.
 Test(directory, daemonsThatAreCutFromTheStoreHearFromTheOthers)
 {
     DirectCluster cluster{8, 3, 12};
@@ -226,7 +228,7 @@
     cr_assert_eq(placing(cluster, 1), 0);
 }
 
-// A daemon is cut off from all others, and keeps its way to the store.
+// A daemon is cut off from all others but can reach the store.
 Test(directory, aDaemonWithoutPeersAsksTheStore)
 {
     DirectCluster cluster{8, 3, 13};
--- a/tests/directory/cluster_random_test.cpp
+++ b/tests/directory/cluster_random_test.cpp
@@ -7,13 +7,13 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// Random faults, one on the other: daemons are killed, frozen, cut off and refused, the store
-// goes down, is silent, is compacted; targets come, drain and leave. Whatever happens, a daemon's
-// version never goes back and a target that has left or drained is never trusted again by a daemon
-// that knew; when all faults are over, every daemon has the store's state within five seconds.
+// Combines random faults: daemons are killed, frozen, cut off and refused; the store is down,
+// silent or compacted; targets are added, drained and removed. A daemon's version must never
+// decrease, and a daemon that knew a target as drained or removed must never place flows there
+// again. Five seconds after the last fault every daemon must have the store's state.
 Test(directory, randomFaultsNeverBringADrainedTargetBack)
 {
-    constexpr std::uint64_t seeds = 300; // 109 and 34 showed faults.
+    constexpr std::uint64_t seeds = 300; // Seeds 109 and 34 showed faults.
     constexpr int steps = 120;
     std::uint64_t states = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -24,7 +24,8 @@
         };
         std::uint64_t lastTarget = 0;
         std::vector<ObjectVersion> versions(cluster.size());
-        std::vector<std::set<std::uint64_t>> known(cluster.size()); ///< Drained, and known so.
+        /// Drained targets that the daemon knows as drained.
+        std::vector<std::set<std::uint64_t>> known(cluster.size());
         std::set<std::uint64_t> drained;
         for (int step = 0; step < steps; ++step) {
             const auto victim = static_cast<std::size_t>(draw(8));
--- a/tests/directory/cluster_test.cpp
+++ b/tests/directory/cluster_test.cpp
@@ -5,8 +5,8 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// 91 daemons start at once. Each would list the store and watch it for itself; with the tree, the
-// three roots do, and everybody is ready within a second.
+// 91 daemons start at once. Guards against each of them listing and watching the store: in the tree
+// only the three roots do, and every daemon is ready within two seconds.
 Test(directory, aTreeOfDaemonsNeedsFewCalls)
 {
     DirectCluster cluster{91, 3, 1};
@@ -30,8 +30,8 @@
     cr_assert(cluster.time.runUntil([&] { return placing(cluster, 1) == 0; }, 1s));
 }
 
-// The root that a daemon has its copy from freezes right after a change, before it has told.
-// The daemon must learn of the change within three seconds from elsewhere.
+// A root freezes right after a change, before it has notified its followers. They have to learn of
+// the change within three seconds from elsewhere.
 Test(directory, aFrozenRootHidesNoChange)
 {
     for (std::size_t frozen = 0; frozen < 3; ++frozen) {
@@ -45,8 +45,9 @@
     }
 }
 
-// Another writer spoils a target's entry and goes on writing it. Daemons must stop placing flows
-// there, keep all other targets, say so once, and use the target again when its entry is whole.
+// Another writer corrupts a target's entry and keeps writing it. Daemons have to stop placing flows
+// there, retain all other targets, report the entry once, and use the target again when its entry
+// is valid.
 Test(directory, anEntryThatCannotBeReadNamesNoTarget)
 {
     std::size_t said = 0;
--- a/tests/directory/copy_test.cpp
+++ b/tests/directory/copy_test.cpp
@@ -34,9 +34,9 @@
     cr_assert(change->removed == std::vector<std::string>{"a"});
 }
 
-// A target came and went while this copy heard nothing, and then it took the whole state. A peer
-// whose copy is from in between still has the target: nobody may leave it there, to get flows for
-// ever.
+// A target was created and removed while this copy got no updates, and then it applied a complete
+// state. A peer with a version in between still has the target: an answer that leaves it there
+// would send flows to it for ever.
 Test(copy, peerWithAnIntermediateVersionDropsShortLivedObjects)
 {
     CollectionCopy listed;
@@ -52,8 +52,8 @@
     cr_assert(watched.changedSince(ObjectVersion{5}));
 }
 
-// A peer asks for what it lacks: exactly the changes since its version, each key once in its
-// newest state. One that lags behind what is remembered gets everything.
+// A peer gets exactly the changes since its version, each key once in its newest state. One that
+// lags behind the change log gets the complete collection.
 Test(copy, aPeerGetsWhatItLacks)
 {
     CollectionCopy copy;
--- a/tests/directory/evacuation_test.cpp
+++ b/tests/directory/evacuation_test.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Within which an evacuation is in force at daemons that reach the store.
+/// Time within which an evacuation is in force at daemons that reach the store.
 constexpr Duration InForce = 5s;
 
 } // namespace
 
-// Guards against an evacuation, or its end, that some daemons hear of late or never.
+// Guards against an evacuation, or its end, that reaches some daemons late or never.
 Test(evacuation, isInForceAndTakenBackEverywhere)
 {
     DirectCluster cluster{90, 3, 1};
@@ -30,8 +30,8 @@
     cr_assert_eq(evacuating(cluster, "d1"), cluster.size());
 }
 
-// Guards against calls to the store that grow by more than a twentieth for a collection that
-// hardly ever changes.
+// Guards against store calls that grow by more than a twentieth for a collection that hardly ever
+// changes.
 Test(evacuation, costsFewCallsWhileNothingChanges)
 {
     DirectCluster cluster{8, 3, 2};
@@ -43,8 +43,8 @@
     cr_assert_leq(calls, (cluster.store.calls() - allBefore - calls) / 20, "%lu", calls);
 }
 
-// Guards against a watch that the store drops without a word, made deaf while the evacuation is
-// asked for: the long one would hear of it half a minute later.
+// Guards against a watch that the store drops silently, after it stopped receiving events while the
+// evacuation was requested: the long watch would learn of it half a minute later.
 Test(evacuation, isHeardThoughItsWatchWasDropped)
 {
     for (Duration phase = 0ms; phase < 3s; phase += 100ms) {
@@ -60,8 +60,8 @@
     }
 }
 
-// Guards against a list that may be seconds old and takes an evacuation back, or brings an ended
-// one again, as the store forgets its history.
+// Guards against a list read from an old replica, seconds old, that reverts an evacuation or
+// restores an ended one when the store has dropped its history.
 Test(evacuation, outlivesOldLists)
 {
     DirectCluster cluster{8, 3, 4};
@@ -82,8 +82,8 @@
     }
 }
 
-// Guards against a daemon that starts during an evacuation and opens flows there, as the store is
-// away and other daemons are all that it can ask.
+// Guards against a daemon that starts during an evacuation and opens flows in that domain, while
+// the store is unavailable and only other daemons can be queried.
 Test(evacuation, isKnownToDaemonsThatStartWithPeersAlone)
 {
     DirectCluster cluster{8, 3, 5};
@@ -100,7 +100,7 @@
     }
 }
 
-// Guards against an evacuation that gets lost where the store refuses all roots but one.
+// Guards against an evacuation that is lost where the store refuses all roots but one.
 Test(evacuation, travelsFromTheOnlyRootThatTheStoreServes)
 {
     DirectCluster cluster{30, 3, 6};
@@ -112,8 +112,9 @@
     cr_assert_eq(evacuating(cluster, "d0"), cluster.size());
 }
 
-// Guards against daemons that differ, or go back, after faults one on the other: the store goes
-// down, is silent, deaf, compacted, refuses some; daemons are killed, frozen and cut off.
+// Guards against daemons that differ or go back to an older state after combined faults: the store
+// is down, silent, drops watch events, is compacted or refuses some daemons; daemons are killed,
+// frozen and cut off.
 Test(evacuation, randomFaultsLeaveTheStoresState)
 {
     constexpr std::uint64_t seeds = 100;
--- a/tests/directory/lapse_test.cpp
+++ b/tests/directory/lapse_test.cpp
@@ -1,5 +1,5 @@
-// Registrations that went with an outage of the store: living targets are back within two seconds
-// of its return.
+// Registrations that lapse during a store outage may still be valid: live targets register again
+// within two seconds of the store's return.
 
 #include "support/cluster_checks.h"
 
@@ -12,10 +12,11 @@
 
 namespace {
 
+/// The target whose registration lapses.
 constexpr std::uint64_t Lapsing = 1;
 constexpr std::uint64_t Other = 2;
 
-/// \brief Daemons that serve two targets, and note who took the lapsing one for gone.
+/// \brief Daemons that serve two targets, and the daemons that reported the lapsing one as gone.
 struct LapseCluster
 {
     explicit LapseCluster(std::uint64_t seed)
@@ -50,14 +51,14 @@
         return daemons;
     }
 
-    std::set<std::size_t> reportedGone; ///< Daemons.
+    std::set<std::size_t> reportedGone; ///< Daemons that reported the target as gone.
     DirectCluster cluster;
 };
 
 } // namespace
 
-// Guards against open flows that are ended since a living target is taken for gone: the store was
-// back for a moment only, and nobody could register.
+// Guards against ending open flows of a live target that is reported as gone: the store was back
+// only for a moment, and no target could register.
 Test(lapse, briefStoreReturnDoesNotEndALapse)
 {
     for (const Duration away : {700ms, 1500ms, 3000ms, 6000ms}) {
@@ -74,15 +75,15 @@
             cluster.time.run(2s);
             addTarget(cluster, Lapsing);
             cluster.time.run(3s);
-            cr_assert(all.reportedGone.empty(), "%zu daemons, %ld ms away, phase %ld",
+            cr_assert(all.reportedGone.empty(), "%zu daemons, %ld ms unavailable, phase %ld",
                       all.reportedGone.size(), away.count() / 1000, phase.count() / 1000);
             cr_assert_eq(placing(cluster, Lapsing), cluster.size());
         }
     }
 }
 
-// Guards against the same at daemons that hear of the lapse by a whole copy: the store has dropped
-// its history.
+// Guards against the same at daemons that learn of the lapse by a complete copy, because the store
+// has dropped its history.
 Test(lapse, completeCopyTellsOfTheStoreOutage)
 {
     LapseCluster all{6};
@@ -97,7 +98,7 @@
     cr_assert_eq(placing(all.cluster, Lapsing), all.cluster.size());
 }
 
-// Guards against targets that count as lapsed for ever.
+// Guards against targets that stay lapsed for ever.
 Test(lapse, registrationMissingAfterTheGraceIsGone)
 {
     for (Duration phase = 0ms; phase < 1600ms; phase += 200ms) {
--- a/tests/directory/peer_feed_test.cpp
+++ b/tests/directory/peer_feed_test.cpp
@@ -10,7 +10,7 @@
 constexpr Endpoint Follower{0x0A010004, 9000};
 constexpr Endpoint Own{0x0A010005, 9000};
 
-/// \brief A feed whose questions are answered by the test.
+/// \brief A feed whose queries are answered by the test.
 struct PeerFeedFixture
 {
     struct Asked
@@ -57,7 +57,7 @@
         return callbacks;
     }
 
-    /// \brief Lets time pass, and ends the pauses that are over.
+    /// \brief Advances the clock and runs the timers that are due.
     void run(Duration span)
     {
         now += span;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// \brief The store's list comes, with one target.
+    /// \brief Applies a list of the store with one target.
     void list(std::uint64_t version)
     {
         (void)copy.applySnapshot({{"targets/1", "ready", ObjectVersion{version}}},
@@ -113,9 +113,9 @@
 
 } // namespace
 
-// A daemon that starts asks a root that has nothing itself yet. The daemon's own list comes first,
-// at version 10. Whatever the root says of its own state, the daemon lacks what changed since, as a
-// drain, and must not take itself for up to date.
+// A daemon that starts queries an empty root, and its own list arrives first, at version 10.
+// Whatever the root reports of itself, the daemon lacks the changes since, as a drain, and must not
+// count as up to date.
 Test(peerFeed, aSourceWithoutACopyBringsNoVersion)
 {
     PeerFeedFixture daemon;
@@ -128,20 +128,22 @@
     cr_assert_eq(daemon.asked.at(1).query.collections.at(0).after.value(), 10);
 }
 
-// Hundreds that start beside living daemons would each list the store, page after page.
+// Guards against hundreds of daemons that start beside running ones and each list the store, page
+// after page.
 Test(peerFeed, aCopyOfAnySizeComesFromAPeer)
 {
     PeerFeedFixture daemon;
     daemon.asked.at(0).done(PeerFeedFixture::redirectAnswer(false));
     cr_assert(daemon.asked.at(1).peer == Follower);
     daemon.run(500ms);
-    cr_assert(daemon.feed.state() != PeerState::Lost, "the store would be asked beside the peer");
+    cr_assert(daemon.feed.state() != PeerState::Lost,
+              "the store would be queried besides the peer");
     daemon.asked.at(1).done(PeerFeedFixture::whole(12, 4400));
     cr_assert_eq(daemon.copy.size(), 4400);
     cr_assert(daemon.feed.state() == PeerState::Fresh);
 }
 
-// A peer that has the copies takes too long to send them: callers wait.
+// A peer that has the copies takes too long to send them, while callers wait.
 Test(peerFeed, storeIsQueriedWhenAnExpectedCopyDoesNotArrive)
 {
     PeerFeedFixture daemon;
@@ -152,16 +154,16 @@
     cr_assert(daemon.feed.state() == PeerState::Lost);
 }
 
-// All daemons have started at once: nobody has a copy, and callers wait for the store.
+// All daemons have started at once: no peer has a copy, and callers wait for the store.
 Test(peerFeed, theStoreIsAskedSoonWhereNobodyHasACopy)
 {
     PeerFeedFixture daemon;
     daemon.asked.at(0).done(PeerFeedFixture::redirectAnswer(true));
     cr_assert(daemon.feed.state() == PeerState::Lost);
-    cr_assert_eq(daemon.asked.size(), 2, "it waits at its place all the same");
+    cr_assert_eq(daemon.asked.size(), 2, "it still waits in its follower slot");
 }
 
-// Nobody answers: the machines of all roots are dark.
+// No peer answers: the VMs of all roots have no power.
 Test(peerFeed, theStoreIsAskedAfterAShortWhileWhereNobodyAnswers)
 {
     PeerFeedFixture daemon;
@@ -170,8 +172,8 @@
     cr_assert(daemon.feed.state() == PeerState::Lost);
 }
 
-// A root has lost its copy with its power, and the store is away. One that still has a copy asks
-// it; of several that do within a moment, the first is asked back.
+// A root has lost its copy with its power, and the store is unavailable. Daemons that still have a
+// copy query it; of several within a moment, only the first is queried back.
 Test(peerFeed, peerWithAFresherCopyIsQueriedAtOnce)
 {
     PeerFeedFixture root;
@@ -181,7 +183,7 @@
     cr_assert_eq(root.asked.size(), 2);
 }
 
-// A VM that has no power takes no connection, and costs less than one that is busy.
+// A VM without power accepts no connection, and must cost less time than a busy one.
 Test(peerFeed, unpoweredVmTimesOutSoonerThanABusyOne)
 {
     PeerFeedFixture daemon;
@@ -190,7 +192,7 @@
     cr_assert_gt(limits.firstByte.count(), Duration{1s}.count());
 }
 
-// A release that knows one collection at a time answers for the first one only.
+// A release that knows one collection at a time answers only for the first one.
 Test(peerFeed, anAnswerForFewerCollectionsIsNoAnswer)
 {
     PeerFeedFixture daemon;
--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -11,19 +11,19 @@
 
 constexpr std::size_t Roots = 3;
 constexpr std::uint64_t Targets = 600;
-/// Objects of the targets in one page of the store.
+/// Targets in one page of a list.
 constexpr std::size_t PageObjects = 50;
-/// All VMs start within this time, in any order.
+/// All VMs start within this time, in random order.
 constexpr Duration StartSpread = 300ms;
-/// One question on a connection of its own, on a VM with 0.038 of a core.
+/// Handling of one query on a connection of its own, on a VM with 0.038 of a core.
 constexpr Duration QueryHandlingTime = 2ms;
-/// What control may cost a daemon's link, in bytes a second.
+/// Limit on the control traffic of a daemon's link, in bytes a second.
 constexpr std::uint64_t ControlBytes = 2000;
-/// Of each message on top of its body: heads of HTTP, TCP and IP, and half an acknowledgement.
+/// Overhead of each message: HTTP, TCP and IP headers, and half an acknowledgement.
 constexpr std::uint64_t HeaderBytes = 142;
-/// From the loss of power of a VM to its next start.
+/// From the power loss of a VM to its next start.
 constexpr Duration PowerOffTime = 2s;
-/// Within which a daemon that has started again serves.
+/// Time within which a restarted daemon has to be ready.
 constexpr Duration ServesWithin = 1s;
 
 /// \brief A system whose daemons have not started yet.
@@ -62,7 +62,7 @@
             });
     }
 
-    /// \brief Ends some daemons and takes the power of their VMs for a while, then starts them.
+    /// \brief Kills some daemons, keeps their VMs without power for a while, then starts them.
     void losePower(const std::vector<std::size_t> &daemons)
     {
         for (const std::size_t index : daemons) {
@@ -73,7 +73,7 @@
         start(daemons);
     }
 
-    /// \return The daemons, or those of each five whose number is below \a ofFive.
+    /// \return All daemons, or of each five those whose number is below \a ofFive.
     [[nodiscard]] std::vector<std::size_t> daemons(std::size_t ofFive = 5) const
     {
         std::vector<std::size_t> out;
@@ -84,7 +84,7 @@
         return out;
     }
 
-    /// \return Calls to the store as it charges them: one that may be old is a tenth.
+    /// \return Calls to the store as it charges them: a read from an old replica counts a tenth.
     [[nodiscard]] double chargedCalls() const
     {
         return static_cast<double>(cluster.store.calls())
@@ -107,7 +107,7 @@
         return count;
     }
 
-    /// \return Most connections that a daemon had at once.
+    /// \return The largest number of connections that a daemon had at once.
     [[nodiscard]] std::size_t maxConnections() const
     {
         std::size_t most = 0;
@@ -122,20 +122,20 @@
     Fleet fleet{daemons, 3s};
     fleet.start(fleet.daemons());
     fleet.cluster.time.run(3s);
-    cr_expect_eq(fleet.ready(), daemons, "%zu of %zu daemons have a view after 3 s", fleet.ready(),
+    cr_expect_eq(fleet.ready(), daemons, "%zu of %zu daemons are ready after 3 s", fleet.ready(),
                  daemons);
     fleet.cluster.time.run(11s);
     const std::uint64_t calls = fleet.cluster.store.calls();
-    // Three roots list 13 pages and watch two collections, 1.5 s each: 14 s make 102.
+    // Three roots list 13 pages and watch two collections, 1.5 s each: 102 calls in 14 s.
     cr_expect_leq(fleet.maxConnections(), 4100 / 4, "a share of a VM's descriptors");
-    cr_expect_leq(calls, 150, "%lu calls to the store, %lu questions, at most %zu connections",
-                  calls, fleet.cluster.asks, fleet.maxConnections());
+    cr_expect_leq(calls, 150, "%lu calls to the store, %lu queries, at most %zu connections", calls,
+                  fleet.cluster.asks, fleet.maxConnections());
 }
 
 } // namespace
 
-// All daemons of a large system start for the first time, and nobody is told where to find a place:
-// those that are turned away end at the store, and stay there.
+// All daemons of a large system start for the first time. Guards against daemons that are turned
+// away without a referral: they fall back to the store and stay there.
 Test(start, threeHundredDaemonsFindTheirPlaces)
 {
     expectTreeForms(300);
@@ -149,8 +149,9 @@
     expectTreeForms(1000);
 }
 
-// Daemons that found their places in another failure domain asked the root of their own each second
-// whether it had one by now: a root sent more than control may cost.
+// Guards against daemons with a follower slot in another failure domain that query the root of
+// their local domain each second for a free slot: that root then sent more than its share of
+// control traffic.
 Test(start, aQuietTreeKeepsToItsShareOfTheLinks)
 {
     constexpr std::uint64_t seconds = 15;
@@ -165,8 +166,9 @@
     }
 }
 
-// All daemons of a system that runs are killed, and callers wait. Each asks the store, whose way is
-// wide, rather than wait for a tree to form; most pages may be old, and are cheap.
+// All daemons of a running system are killed, and callers wait. Each queries the store, which has a
+// wide link, rather than wait for a tree to form; most pages may come from old replicas, which is
+// cheap.
 Test(start, allThatWereKilledServeSoon)
 {
     Fleet fleet{300, 0s};
@@ -180,13 +182,14 @@
     cr_expect_eq(fleet.ready(), 300, "%zu daemons", fleet.ready());
     fleet.cluster.time.run(5s);
     cr_expect_eq(fleet.fresh(), 300, "%zu daemons", fleet.fresh());
-    // A first page of each collection, eleven cheap ones, and a watch that settles the list: 4.1 a
-    // daemon. The roots' watches are the rest.
+    // A first page of each collection, eleven cheap ones, and a watch that completes the list: 4.1
+    // calls a daemon. The rest are the roots' watches.
     cr_expect_leq(fleet.chargedCalls() - before, 300 * 4.5, "%.0f calls",
                   fleet.chargedCalls() - before);
 }
 
-// Two of five daemons are replaced at once. The others have all that they need.
+// Two of five daemons are replaced at once. The others have complete copies, so the store must not
+// be queried.
 Test(start, daemonsStartedBesideOthersDoNotQueryTheStore)
 {
     Fleet fleet{300, 0s};
@@ -204,13 +207,13 @@
     fleet.cluster.time.run(StartSpread + ServesWithin);
     cr_expect_eq(fleet.ready(), 300, "%zu daemons", fleet.ready());
     fleet.cluster.time.run(5s);
-    // Three roots watch two collections, 1.5 s each: 25 in this time.
+    // Three roots watch two collections, 1.5 s each: 25 calls in this time.
     cr_expect_leq(fleet.chargedCalls() - before, 60, "%.0f calls", fleet.chargedCalls() - before);
 }
 
-// Four fifths of the daemons, and all roots with them, lose power while the store is away. Nobody
-// tells those that come back who is left, and callers of every one of them would wait for the
-// store.
+// Four fifths of the daemons, including all roots, lose power while the store is unavailable.
+// Guards against restarted daemons that don't find the surviving ones, so that their callers wait
+// for the store.
 Test(start, daemonsRestartedInAnOutageFindTheSurvivors)
 {
     for (const Duration outage : {500ms, 5000ms}) {
@@ -222,10 +225,10 @@
         const std::uint64_t asks = fleet.cluster.asks;
         fleet.losePower(fleet.daemons(4));
         fleet.cluster.time.run(StartSpread + ServesWithin);
-        cr_expect_eq(fleet.ready(), 300, "%zu daemons, store away for %ld us", fleet.ready(),
+        cr_expect_eq(fleet.ready(), 300, "%zu daemons, store unavailable for %ld us", fleet.ready(),
                      outage.count());
-        // Of each daemon a path down the tree and a few rounds without an answer.
-        cr_expect_leq(fleet.cluster.asks - asks, 300 * 30, "%lu questions",
+        // For each daemon a path down the tree and a few rounds without an answer.
+        cr_expect_leq(fleet.cluster.asks - asks, 300 * 30, "%lu queries",
                       fleet.cluster.asks - asks);
         fleet.cluster.store.down = false;
         fleet.cluster.time.run(5s);
@@ -233,8 +236,8 @@
     }
 }
 
-// One root dies, then all three: the others find sources, or the store, in the time in which a
-// change has to be in force.
+// One root fails, then all three: the other daemons have to find sources, or the store, within the
+// time in which a change has to be in force.
 Test(start, daemonsReplaceLostRoots)
 {
     for (const std::size_t lost : {std::size_t{1}, Roots}) {
--- a/tests/directory/store_feed_test.cpp
+++ b/tests/directory/store_feed_test.cpp
@@ -54,8 +54,8 @@
 
 } // namespace
 
-// Pages that may be old are cheap, and a target that drained since they were made would come back.
-// Nothing of the list may be in force before a watch has brought what the pages lack.
+// Pages from old replicas are cheap, but would bring back a target that was drained since. The list
+// must not be in force before a watch has fetched what the pages lack.
 Test(storeFeed, pagesThatAreOldBringNoTargetBack)
 {
     StoreFeedFixture fixture;
@@ -74,8 +74,8 @@
     cr_assert_eq(fixture.store.cheapCalls(), 2);
 }
 
-// The store has forgotten what changed since the old pages were made: only a list that is not old
-// tells.
+// The store has dropped the changes since the old pages were made, so that only a consistent list
+// has them.
 Test(storeFeed, listIsRestartedWhenItsPagesAreTooOld)
 {
     StoreFeedFixture fixture;
@@ -89,7 +89,7 @@
     cr_assert_eq(fixture.copy.version().value(), fixture.store.revision());
 }
 
-// Small collections come in one page, which is true as it is: no further call.
+// Small collections come in one page, which is a consistent read and needs no further call.
 Test(storeFeed, aListOfOnePageCostsOneCall)
 {
     StoreFeedFixture fixture;
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -26,7 +26,7 @@
     return {Key, table(routes), ObjectVersion{version}};
 }
 
-/// \brief A copy that has taken these versions one after the other.
+/// \brief A copy to which these versions were applied in order.
 [[nodiscard]] CollectionCopy copyOf(const std::vector<StoredObject> &versions)
 {
     CollectionCopy copy;
@@ -48,7 +48,7 @@
     return answer;
 }
 
-/// \brief A feed of the routes whose questions the test answers.
+/// \brief A feed of the routes whose queries are answered by the test.
 struct RoutesFeedFixture
 {
     struct Asked
@@ -105,8 +105,8 @@
     cr_assert_not(applyPatch(base, "no patch at all").has_value());
 }
 
-// A follower is one version behind, another two, a third lacks versions that nobody kept, and one
-// is of a release that knows no patches: the last two get the whole value.
+// One follower lags by one version, another by two, a third lacks versions that nobody retained,
+// and one is of a release without patches: the last two get the whole value.
 Test(patchCache, servesThoseWhoseValueIsRemembered)
 {
     const CollectionCopy copy = copyOf({object(500, 10), object(600, 20), object(601, 30)});
@@ -136,8 +136,8 @@
     cr_assert(wire::parseQuestion(wire::toJson(query))->patches);
 }
 
-// A daemon listed the store between two versions that its source knows: the patch was made for a
-// value that it never had. It asks the same source again, for the whole value, and has the change.
+// A daemon listed the store between two versions that its source knows, so the patch was made for a
+// value that it never had. It has to query the same source again for the whole value.
 Test(patchCache, onePatchThatDoesNotFitIsFollowedByTheWholeValue)
 {
     const CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
@@ -152,9 +152,9 @@
     cr_assert(daemon.asked.at(2).query.patches);
 }
 
-// The source listed the store anew and can't tell what changed since the daemon's version, so that
-// its answer has everything; the routes have not changed. The daemon must keep them: without, it
-// would go on with its old ones for ever and give nobody any.
+// The source listed the store again and can't tell what changed since the daemon's version, so its
+// answer is complete; the routes have not changed. The daemon has to retain them: without them it
+// would keep its old copy for ever and have no routes to send.
 Test(patchCache, aLargeValueThatDidNotChangeIsKept)
 {
     CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
@@ -170,7 +170,7 @@
     cr_assert(daemon.copy.find(Key)->value == table(600));
 }
 
-// The same, and the source's patch leads to a version that the daemon has by the store already.
+// As above, with a patch to a version that the daemon already got from the store.
 Test(patchCache, aPatchOfAVersionThatIsKnownTakesNothingAway)
 {
     const CollectionCopy source = copyOf({object(500, 10), object(600, 20)});
--- a/tests/directory/view_relay_test.cpp
+++ b/tests/directory/view_relay_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Endpoint NearRoot{0x0A010001, 9000}; ///< Of the failure domain d1.
+constexpr Endpoint NearRoot{0x0A010001, 9000}; ///< In the failure domain d1.
 constexpr Endpoint Asker{0x0A010007, 9000};    ///< In d1 too.
 
 /// \brief A root of the domain d0 with a complete copy.
@@ -28,7 +28,7 @@
         relay.add("targets/", copy);
     }
 
-    /// \return What a daemon of d1 that has the copy is answered.
+    /// \return The answer to a daemon of d1 that has the copy.
     PeerAnswer ask(const Endpoint &querier)
     {
         PeerQuery query;
@@ -44,9 +44,8 @@
 
 } // namespace
 
-// A daemon of d1 asks the root of d0, which knows the root of d1 and sends it there. The way to
-// that one is cut: the daemon comes back and has to be taken, or it would have nobody but the
-// store.
+// A daemon of d1 queries the root of d0, which redirects it to the root of d1. That one is
+// unreachable: the daemon returns and has to get a slot, or it would have only the store.
 Test(viewRelay, acceptsADaemonThatCannotReachItsLocalRoot)
 {
     RootOfD0 root;
@@ -58,7 +57,7 @@
     cr_assert(root.ask(Asker).hasSlot);
 }
 
-// The root of d1 has not been heard of for a while: it may be gone, and nobody is sent there.
+// The root of d1 has sent nothing for a while and may be gone: no daemon must be redirected there.
 Test(viewRelay, doesNotRedirectToASilentRoot)
 {
     RootOfD0 root;
@@ -107,8 +106,9 @@
 
 } // namespace
 
-// Hundreds start at once and nobody has a copy. Those that find a place wait for it, and the others
-// are sent on to them at once; sent away, all would come again and again.
+// Hundreds of daemons start at once without a copy. Those that get a follower slot wait for it, and
+// the others are redirected to them at once; if they were sent away, all would return over and
+// over.
 Test(viewRelay, followerSlotsAreTakenBeforeThereIsACopy)
 {
     EmptyDaemon root;
@@ -137,7 +137,8 @@
     cr_assert(replies.front()->isEmpty && replies.front()->collections.empty());
 }
 
-// The daemon lost its copy with its power while the store is away; one that kept its own asks.
+// The daemon lost its copy with its power while the store is unavailable; a daemon that still has a
+// copy queries it.
 Test(viewRelay, querierWithACopyIsReportedAsFresher)
 {
     EmptyDaemon root;
@@ -147,7 +148,7 @@
     cr_assert(!replies.at(0).has_value());
 }
 
-// Hundreds are sent on: one line when that begins and one when it ends.
+// Hundreds of daemons are redirected: one notice at the start and one at the end.
 Test(viewRelay, reportsTheStartAndTheEndOfAnOverflow)
 {
     EmptyDaemon root;
