--- a/tests/lapse-known/random_test.cpp
+++ b/tests/lapse-known/random_test.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::uint64_t Living = 1;
 
-/// \brief A target that lives all along. Its registration expires while the store is away, and is
-/// back within two seconds of its return.
+/// \brief A target that stays alive. Its registration expires while the store is unavailable, and
+/// is back within two seconds of the store's return.
 class LivingTarget
 {
 public:
@@ -52,18 +52,18 @@
 
     DirectCluster &m_cluster;
     Random &m_random;
-    std::uint64_t m_outage = 0; ///< Counts the store's goings and returns.
+    std::uint64_t m_outage = 0; ///< Counts losses and returns of the store.
 };
 
 } // namespace
 
-// Guards against open flows that are ended since a living target is taken for gone, whatever comes
+// Guards against ending open flows of a live target that is reported as gone, whatever faults come
 // together with outages of the store.
 Test(lapse, randomFaultsNeverTakeALivingTargetForGone)
 {
     constexpr std::uint64_t seeds = 200;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        std::size_t reportedGone = 0; // Daemons, however often.
+        std::size_t reportedGone = 0; // Reports of all daemons, repeated ones included.
         DirectCluster cluster{9, 3, seed, [&](std::size_t, DirectCallbacks &ports) {
                                   ports.observer.stateChanged
                                       = [&](const TargetStateChange &change) {
--- a/tests/large-change/large_change_test.cpp
+++ b/tests/large-change/large_change_test.cpp
@@ -13,14 +13,14 @@
 
 /// 10 Mbit/s, the smallest link of the deployments.
 constexpr std::uint64_t MinLinkBytesPerSecond = 1'250'000;
-/// The shortest time in which a change has to be in force on a system of this size.
+/// The shortest time within which a change has to be in force on a system of this size.
 constexpr Duration InForceWithin = 5s;
-/// After which callers have to be served again.
+/// Time after which callers have to be served again.
 constexpr Duration RecoversWithin = 15s;
 constexpr std::size_t Daemons = 60;
 constexpr std::size_t Roots = 3;
 
-/// \return What a target writes about itself.
+/// \return A registration as a target writes it.
 [[nodiscard]] std::string registration(std::uint64_t target)
 {
     boost::random::mt19937 random{static_cast<std::uint32_t>(target)};
@@ -41,14 +41,14 @@
     return count;
 }
 
-/// \brief Targets register all the while, one each 250 ms, as when they are replaced.
+/// \brief Registers a target each 250 ms, as while targets are replaced.
 void registerTargetsFrom(DirectCluster &cluster, std::uint64_t target)
 {
     cluster.store.put(DirectCluster::targetKey(target), "x ready");
     cluster.time.after(250ms, [&cluster, target] { registerTargetsFrom(cluster, target + 1); });
 }
 
-/// \brief Daemons with the smallest links that hold a configuration of so many routes.
+/// \brief Gives the daemons the smallest links and a configuration of so many routes.
 void startWithRoutes(DirectCluster &cluster, std::size_t routes)
 {
     cluster.store.put("routes/main", configurationText(9, routes));
@@ -61,13 +61,13 @@
 
 } // namespace
 
-// An operator adds 1,400 routes to 1,645 and, as soon as that is acknowledged, one more. Callers
-// whose route was dropped were still served by daemons that had not heard of it five seconds later.
-// All routes are one object, and each change sent all of them, 590 KB, in one answer that had 0.4 s
-// where the link alone takes 0.5 s; what came was thrown away, and the next source was asked for
-// everything again. A daemon's log had 26 such questions in 12 seconds, as "took_ms":400.2,
-// "bytes":458752, "why":"the answer was cut off"; of 178 MB on that day 132 were for nothing. An
-// answer that moves is waited for now, and what travels is what makes the new routes of the old.
+// An operator adds 1,400 routes to 1,645 and, as soon as that is acknowledged, one more; each
+// change has to be in force within five seconds. Guards against sending all routes, one object of
+// 590 KB, in an answer with a timeout of 0.4 s where the link alone takes 0.5 s: daemons discarded
+// what had arrived and requested everything from the next source, so that callers of a dropped
+// route were still served five seconds later. A daemon's log had 26 such queries in 12 seconds,
+// with "took_ms":400.2, "bytes":458752, "why":"the answer was cut off"; of 178 MB in one day, 132
+// were wasted. An answer that keeps arriving is waited for, and only a patch of the routes is sent.
 Test(largeChange, aLargeChangeIsInForceInTimeOverSmallLinks)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -85,8 +85,8 @@
     }
 }
 
-// One route is changed of as many as fit the largest object that the store holds, a megabyte. What
-// travels has to go with the change, not with all that stands: each daemon has 2 KB a second.
+// One route is changed of as many as fit the store's largest object, a megabyte. The traffic has to
+// follow the size of the change, not of the configuration: each daemon has 2 KB a second.
 Test(largeChange, aSmallChangeOfManyRoutesIsInForceInTime)
 {
     constexpr std::size_t routes = 5000;
@@ -98,10 +98,11 @@
                  daemonsWithVersion(cluster, 11), Daemons);
 }
 
-// The store is away, and all daemons but the roots are killed and start anew: 57 that have nothing
-// ask three for everything, 4,400 registrations of some 230 bytes. Callers have to be served 15
-// seconds later. A copy as it stands takes 0.9 s of a link: 19 of them at a time are all late,
-// given up, and asked for again from the start, so that after 15 seconds hardly anybody has one.
+// The store is unavailable, and all daemons but the roots are killed and restarted: 57 empty
+// daemons query three for complete copies of 4,400 registrations of some 230 bytes. Callers have to
+// be served 15 seconds later. Uncompressed, a copy takes 0.9 s of a link: 19 at a time are all
+// late, abandoned and requested again from the start, so that after 15 seconds hardly any daemon
+// has one.
 Test(largeChange, wholeCopiesComeInTimeOverSmallLinks)
 {
     DirectCluster cluster{Daemons, Roots, 5};
@@ -126,9 +127,10 @@
 }
 
 // An operator's tool writes the configuration twelve times a second for four seconds, 2,000 routes
-// of 190 bytes each time. The store tells a watch each of these versions, and while one answer
-// passes a root's link, several more come about: each answer is longer than the one before, and the
-// last version is in force a quarter of a minute late. A list has only the newest.
+// of 190 bytes each time. Guards against watches that return each of these versions: while an
+// answer passes a root's link, several more are written, so that each answer is longer than the one
+// before, and the last version is in force a quarter of a minute late. A list has only the newest
+// version.
 Test(largeChange, changesInQuickSuccessionAreInForceInTime)
 {
     constexpr std::uint64_t first = 20;
