--- a/src/core/directory/store_feed.cpp
+++ b/src/core/directory/store_feed.cpp
@@ -35,14 +35,14 @@
 } // namespace
 
 StoreFeed::StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks callbacks,
-                     Random &random, CollectionCopy &copy, Changed changed, Contact contact)
+                     Random &random, CollectionCopy &copy, Changed changed, CallEnded callEnded)
     : m_prefix(std::move(prefix))
     , m_settings(settings)
     , m_callbacks(std::move(callbacks))
     , m_random(random)
     , m_copy(copy)
     , m_changed(std::move(changed))
-    , m_contact(std::move(contact))
+    , m_callEnded(std::move(callEnded))
     , m_backoff(settings.firstRetry, settings.maxRetry)
     , m_pageBackoff(settings.firstRetry, settings.maxRetry)
 {
@@ -167,7 +167,7 @@
     m_consistent = false;
     if (m_pagesVersion < m_copy.version()) {
         // A peer was faster, or the answer is older than the copy.
-        m_contact(StoreCallResult{});
+        m_callEnded(StoreCallResult{});
         schedule(m_backoff.next(m_random, Duration{0}), &StoreFeed::list);
         return;
     }
@@ -175,7 +175,7 @@
     if (const auto change = m_copy.applySnapshot(listed, m_pagesVersion, storeReturnedRecently()))
         m_changed(*change);
     m_copy.confirm(calledAt);
-    m_contact(StoreCallResult{});
+    m_callEnded(StoreCallResult{});
     if (m_lowRate)
         schedule(m_settings.lowRatePause, &StoreFeed::watch);
     else
@@ -196,7 +196,7 @@
 void StoreFeed::onWatch(TimePoint calledAt, PlatformResult result)
 {
     if (std::holds_alternative<HistoryCompacted>(result)) {
-        m_contact({{}, true});
+        m_callEnded({{}, true});
         m_pages.clear();
         list();
         return;
@@ -220,7 +220,7 @@
             {std::move(list->objects), std::move(list->removed), version, storeReturnedRecently()}))
         m_changed(*change);
     m_copy.confirm(m_callbacks.now());
-    m_contact(StoreCallResult{});
+    m_callEnded(StoreCallResult{});
     const bool tooShort = !confirmed && m_callbacks.now() - calledAt < MinWatch;
     if (changed || tooShort)
         schedule(m_settings.batchDelay, &StoreFeed::watch);
@@ -234,7 +234,7 @@
     m_copy.storeFailed(m_callbacks.now());
     const auto *failure = std::get_if<PlatformFailure>(&result);
     const bool listing = std::exchange(m_pageReceived, false);
-    m_contact(
+    m_callEnded(
         {failure ? failure->what : "unexpected type of answer from the store", false, listing});
     const Duration atLeast = failure ? failure->retryAfter : Duration{0};
     schedule(backoff.next(m_random, std::min(atLeast, m_settings.maxRetry)), retry);
--- a/src/core/directory/store_feed.h
+++ b/src/core/directory/store_feed.h
@@ -66,13 +66,13 @@
 {
 public:
     using Changed = std::function<void(const CollectionChange &)>;
-    using Contact = std::function<void(const StoreCallResult &)>;
+    using CallEnded = std::function<void(const StoreCallResult &)>;
 
     /// \param prefix Prefix of the collection's keys.
     /// \param changed Called for each change and for the first complete list.
-    /// \param contact Called at the end of each call to the store.
+    /// \param callEnded Called at the end of each call to the store.
     StoreFeed(std::string prefix, StoreFeedSettings settings, StoreFeedCallbacks callbacks,
-              Random &random, CollectionCopy &copy, Changed changed, Contact contact);
+              Random &random, CollectionCopy &copy, Changed changed, CallEnded callEnded);
     StoreFeed(const StoreFeed &) = delete;
     StoreFeed &operator=(const StoreFeed &) = delete;
 
@@ -108,7 +108,7 @@
     Random &m_random;
     CollectionCopy &m_copy;
     Changed m_changed;
-    Contact m_contact;
+    CallEnded m_callEnded;
     Backoff m_backoff;
     Backoff m_pageBackoff; ///< Between retries of one page, after the first page arrived.
 
