--- a/src/core/directory/peer_copies.cpp
+++ b/src/core/directory/peer_copies.cpp
@@ -93,8 +93,8 @@
 CopyUpdate PeerCopies::apply(const PeerAnswer &answer, Duration staleAfter, TimePoint now)
 {
     const auto confirmed = confirmedAt();
-    const bool ownIsFresh = confirmed && now - *confirmed <= staleAfter;
-    CopyUpdate taken;
+    const bool localIsFresh = confirmed && now - *confirmed <= staleAfter;
+    CopyUpdate update;
     bool behind = false;
     noteStoreReturn(answer, now);
     for (std::size_t index = 0; index < m_collections.size(); ++index) {
@@ -113,21 +113,21 @@
                   : collection.copy->applyChanges(news);
         if (!change)
             continue;
-        taken.changed = true;
+        update.changed = true;
         collection.changed(*change);
     }
-    taken.fresh = answer.age <= staleAfter;
+    update.fresh = answer.age <= staleAfter;
     // The peer is behind because this daemon had to query the store itself, and catches up soon.
     // Going on with the store would keep this daemon ahead of its peers, and at the store, for
     // ever.
     if (behind) {
-        taken.fresh = taken.fresh && ownIsFresh;
-        return taken;
+        update.fresh = update.fresh && localIsFresh;
+        return update;
     }
     for (const SharedCollection &each : m_collections)
         each.copy->confirm(now - answer.age);
-    taken.confirmed = true;
-    return taken;
+    update.confirmed = true;
+    return update;
 }
 
 } // namespace baobabtrail
--- a/src/core/directory/peer_feed.cpp
+++ b/src/core/directory/peer_feed.cpp
@@ -300,13 +300,13 @@
         return;
     }
     m_acceptsPatches = true;
-    const CopyUpdate taken = m_copies.apply(answer, m_settings.staleAfter, m_callbacks.now());
-    if (taken.changed || taken.confirmed)
-        m_handlers.answered(taken.changed);
-    reportQuery(std::move(end), taken.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
+    const CopyUpdate update = m_copies.apply(answer, m_settings.staleAfter, m_callbacks.now());
+    if (update.changed || update.confirmed)
+        m_handlers.answered(update.changed);
+    reportQuery(std::move(end), update.fresh ? QueryOutcome::Applied : QueryOutcome::Stale);
     Source &source = *m_sources.find(address);
     source.hasSlot = answer.hasSlot;
-    if (!taken.fresh) {
+    if (!update.fresh) {
         onStaleAnswer(source);
         return;
     }
@@ -398,7 +398,7 @@
     if (state == m_state)
         return;
     m_state = state;
-    m_handlers.contact(state);
+    m_handlers.stateChanged(state);
 }
 
 } // namespace baobabtrail
--- a/src/core/directory/peer_feed.h
+++ b/src/core/directory/peer_feed.h
@@ -96,7 +96,7 @@
 struct PeerFeedHandlers
 {
     /// Called for each change of the state.
-    std::function<void(PeerState)> contact;
+    std::function<void(PeerState)> stateChanged;
     /// Called when a source has answered for the copies. \a changed: at least one copy changed.
     std::function<void(bool changed)> answered;
 };
