--- a/src/core/requests/dispatcher.cpp
+++ b/src/core/requests/dispatcher.cpp
@@ -7,14 +7,17 @@
 
 namespace {
 
-/// How long requests wait on for a target that stopped taking work, for it may come back.
+/// How long requests stay queued for a target that has become unavailable, as it may recover.
 constexpr Duration UnavailableGrace = 2s;
-/// Most attempts at one request, whatever the budget allows.
+/// Bound on the attempts at one request, whatever the retry budget allows.
 constexpr std::uint32_t MaxAttempts = 3;
+/// Each finished attempt moves the mean run time by 1/8 of the difference.
 constexpr int RunTimeSamples = 8;
+/// Each request refused for lack of time shortens the mean run time by 1/64.
 constexpr int RunTimeDecayRefusals = 64;
-/// Runs of others that a request is taken to wait for at its target. One is what a change of owner
-/// brings; a target that always reports many must not be without work for ever.
+/// Bound on the rounds of other daemons' attempts that a request is expected to wait for at its
+/// target. A change of owner causes one; without the bound, a target that always reports many would
+/// never get work.
 constexpr std::uint32_t MaxExpectedWaits = 1;
 
 } // namespace
@@ -50,7 +53,7 @@
 
 bool Dispatcher::hasFreeSlot(TargetId target, TimePoint now) const
 {
-    // The load counts reservations too: a slot that one of them will take in a moment isn't free.
+    // The load includes reservations: a slot that one of them will use shortly isn't free.
     return m_context.targets.slotFree(target, now)
            && m_context.targets.loadOf(target, now).requests < 1.0F;
 }
@@ -129,8 +132,8 @@
     }
 }
 
-// A queue of one target can be long while another target of the same owner idles: callers would
-// wait for a slot that is free next door.
+// Work stealing: one target's queue can be long while another target of the service, with the same
+// owner, has free slots that its requests could use.
 void Dispatcher::stealFromOthers(TargetId target, TargetWork &work, Turn &turn)
 {
     for (auto &[other, busy] : m_work) {
@@ -160,15 +163,16 @@
 {
     if (!m_links.usableGeneration(target))
         return false;
-    // What was reserved before a target began to drain, or passed to another owner, still runs on
-    // it; the table counts only targets that take work.
+    // Requests reserved before the target began to drain, or moved to another owner, still run on
+    // it. The target table counts slots only for targets that take work.
     if (takesNoNewWork(target))
         return work.running < work.slots;
     return m_context.targets.slotFree(target, now);
 }
 
-// A target that has shed everything so far has no run of its own to go by. Taken for one that needs
-// no time, it was given requests that ended as unknown where "not run" could still be said.
+// A target that has shed everything so far has no run time of its own. With an expected run time of
+// 0 it would be sent requests that can't finish before their deadline: they would end as unknown,
+// while "not run" can still be said of a request that is not dispatched.
 Duration Dispatcher::expectedRunTime(const TargetWork &work) const noexcept
 {
     if (work.meanRunTime > Duration{0})
@@ -181,10 +185,10 @@
     return longest;
 }
 
-// While a target passes from one owner to another, both fill its slots, the old one even before it
-// knows; what is sent then waits behind the other's work. Without that wait, requests were sent
-// with less time left than they needed and ended as unknown. The target's own report shows the
-// others.
+// While a target moves from one owner to another, both fill its slots, the old one possibly before
+// it knows of the move, and an attempt waits behind those of the other daemon. If that wait were
+// not counted, requests with too little time left would be dispatched and end as unknown. The load
+// that the target reports shows the attempts of other daemons.
 Duration Dispatcher::expectedResponseTime(const TargetWork &work) const noexcept
 {
     const std::uint32_t ahead
@@ -196,11 +200,11 @@
 void Dispatcher::dispatch(RequestRecord &record, TargetWork &work, Turn &turn)
 {
     const Duration timeLeft = record.token.deadline - turn.now;
-    // The owner may have been paused since the request came: its caller has given up. One that
-    // can't run to its end in time would end as unknown, where "not run" can still be said.
+    // The deadline may have passed while the process was stalled. A request that can't finish in
+    // time is refused as "not run", which can still be said; dispatched, it would end as unknown.
     if (timeLeft <= expectedResponseTime(work)) {
-        // Nothing is learnt from what isn't started: a target that was slow once would be refused
-        // for ever.
+        // A refused request yields no run time. Without this decay, requests for a target that was
+        // slow once would be refused for ever.
         work.meanRunTime -= work.meanRunTime / RunTimeDecayRefusals;
         return m_outcomes.notRun(record, RefusalCause::DeadlinePassed, Duration{0}, turn);
     }
@@ -245,8 +249,8 @@
 void Dispatcher::attemptDone(TargetId target, AttemptDone done, Turn &turn)
 {
     RequestRecord *record = m_table.findAttempt(done.attempt);
-    // An answer to an attempt that was given up, or from a target that never got it, belongs to no
-    // caller: its request has its final outcome already.
+    // Ignores the answer to an attempt that was abandoned, as its request already has its final
+    // outcome, and one from a target to which the attempt was not sent.
     if (!record || record->target != target) {
         m_context.targets.heardFrom(target, turn.now);
         return;
@@ -280,7 +284,8 @@
             continue;
         const bool cancelled = std::get<RunningState>(record.state).cancelled;
         endAttempt(record, AttemptEnd::LinkBroken, nullptr, turn);
-        // What was sent on the connection may have run. Sending it again would run it twice.
+        // An attempt sent on the connection may have run. A retry could run it twice, so that only
+        // idempotent requests get one.
         record.mayHaveRun = true;
         if (!record.idempotent || cancelled || !retry(record, turn))
             m_outcomes.unknown(record, UnknownCause::LinkBroken, turn);
@@ -367,8 +372,8 @@
     }
 }
 
-// A request that waits its turn at a draining target would start there long after the drain; one
-// that waits at a dead target would be refused only at its deadline.
+// A request left in the queue of a draining target would start there long after the drain began;
+// one in the queue of a dead target would be refused only at its deadline.
 void Dispatcher::drainQueue(TargetId target, Turn &turn)
 {
     for (const RequestId &id : m_table.ofTarget(target)) {
--- a/src/core/requests/target_queue.h
+++ b/src/core/requests/target_queue.h
@@ -7,9 +7,10 @@
 
 namespace baobabtrail {
 
-/// \brief The requests that hold a place at one target: reserved or queued, not yet started.
+/// \brief The queue of one target: requests that are reserved or waiting, and not started yet.
 ///
-/// A place is taken by the reservation, before the request itself is here; it starts no earlier.
+/// A reservation takes a place in the queue before the data of its request arrives; it can't start
+/// before that. Requests moved here from another target are started before the others.
 class TargetQueue
 {
 public:
@@ -18,20 +19,23 @@
     {
     }
 
-    /// \param capacity Most places. \param weight Share of the workspace.
+    /// \param capacity Bound on the entries, those moved from other targets not counted.
+    /// \param weight Share of the workspace.
     void configure(std::size_t capacity, const std::string &workspace, std::uint32_t weight);
 
-    /// \brief Takes a place.
-    /// \param displaced Set to the entry that had to go.
-    /// \return Nothing where it was taken, else why not.
+    /// \brief Adds a request that is reserved and has not arrived yet.
+    /// \param displaced Set to the entry of a less urgent class that was evicted, if any.
+    /// \return The reason and the time to retry after, or nothing where it was added.
     [[nodiscard]] std::optional<QueueRefusal> admit(QueueEntry entry, TimePoint now, Random &random,
                                                     std::optional<QueueEntry> &displaced);
-    /// \brief Takes a place in front, whether there is room or not, for a request that another
-    /// target could not run.
+    /// \brief Adds a request that another target could not run, ahead of the others and beyond the
+    /// capacity.
     void addMoved(const QueueEntry &entry, bool ready);
-    /// \brief The request itself has come.
+    /// \brief Marks a request whose data has arrived: it may start.
     void setReady(const RequestId &request);
-    /// \return The next request to start, or nothing. Entries past their deadline go to \a expired.
+    /// \brief Removes the next request to start.
+    /// \param expired Entries past their deadline are moved here.
+    /// \return The request, or nothing where none may start.
     [[nodiscard]] std::optional<RequestId> pop(TimePoint now, std::vector<QueueEntry> &expired);
     void remove(const RequestId &request);
     void slotFreed(Duration ran, std::uint32_t slots, TimePoint now) noexcept
