--- a/src/core/requests/outcomes.cpp
+++ b/src/core/requests/outcomes.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// How long an outcome is kept behind the deadline, for a caller whose last message crossed it.
+/// How long an outcome is retained after the deadline, for a caller whose last retransmission
+/// crossed it on the way.
 constexpr Duration OutcomeRetention = 1s;
 
 } // namespace
@@ -21,13 +22,13 @@
 
 void Outcomes::notRun(RequestRecord &record, RefusalCause cause, Duration retryAfter, Turn &turn)
 {
-    // An earlier attempt was cut off by a broken connection: the caller would take "not run" as
-    // leave to ask again, and a swap would be made twice.
+    // The connection broke during an earlier attempt, which may have run. A caller that hears "not
+    // run" may retry, and a request that isn't idempotent would run twice.
     if (record.mayHaveRun)
         return unknown(record, UnknownCause::LinkBroken, turn);
     const NotRun reply{record.id, cause, retryAfter, m_context.identity.daemon};
-    // A caller that holds another owner's reservation as well may have its request running there.
-    // Until it sends the request under this one, it is told nothing of it.
+    // The caller may hold another owner's reservation too, and its request may run there. While the
+    // request has not arrived here, a refusal could be mistaken for the outcome of that one.
     if (!std::holds_alternative<ReservedState>(record.state)) {
         turn.sendToCaller(record.caller, RequestMessage{reply});
         observe(record, RequestOutcome::NotRun, cause, turn);
@@ -50,7 +51,8 @@
     if (const UnknownState *unknown = std::get_if<UnknownState>(&record.state))
         return turn.sendToCaller(record.caller, RequestMessage{unknown->reply});
     AnsweredState *answered = std::get_if<AnsweredState>(&record.state);
-    // A long answer to a short datagram would make the daemon an amplifier: resends are bounded.
+    // Resends are bounded: long answers to short datagrams with a forged source address would make
+    // the daemon an amplifier.
     if (!answered || answered->resends >= m_context.settings.maxAnswerResends)
         return;
     ++answered->resends;
--- a/src/core/requests/outcomes.h
+++ b/src/core/requests/outcomes.h
@@ -5,7 +5,8 @@
 
 namespace baobabtrail {
 
-/// \brief Ends requests: tells the caller at once, and keeps the outcome for retransmissions.
+/// \brief Completes requests: sends the outcome to the caller at once, and retains it for
+/// retransmissions.
 class Outcomes
 {
 public:
@@ -15,12 +16,15 @@
     {
     }
 
+    /// \brief Completes a request with the answer of its target.
     void answered(RequestRecord &record, std::string payload, Turn &turn);
-    /// \brief The request did not run. Where an attempt may have run after all, the outcome is
-    /// unknown instead.
+    /// \brief Completes a request that did not run; where an earlier attempt may have run, as one
+    /// with an unknown outcome.
+    /// \param retryAfter Time after which the caller may retry.
     void notRun(RequestRecord &record, RefusalCause cause, Duration retryAfter, Turn &turn);
+    /// \brief Completes a request of which nobody can say whether it ran.
     void unknown(RequestRecord &record, UnknownCause cause, Turn &turn);
-    /// \brief The caller asked again for the outcome of a request that has ended.
+    /// \brief Sends the retained outcome again, for a caller that has retransmitted its request.
     void resend(RequestRecord &record, Turn &turn);
 
 private:
--- a/src/core/requests/request_owner.cpp
+++ b/src/core/requests/request_owner.cpp
@@ -71,8 +71,8 @@
                                        offerFreeSlot};
     if (placeOrForward(m_context, turn, handoff, forwarded, callbacks))
         return;
-    // Without a free slot anywhere the ask waits where it is; each target tried was less loaded
-    // than the one before.
+    // No target has a free slot, so that the request has to queue here. Each target tried was less
+    // loaded than the one before: the last one comes first.
     std::reverse(queues.begin(), queues.end());
     for (const TargetId target : queues) {
         if (offer(handoff, target, retryAfter, turn))
@@ -93,9 +93,9 @@
            retryAfter, turn);
 }
 
-// The caller may reserve again while its first reservation is on its way. With the same place it
-// can't hold two, whichever answer it takes; one that ended stays ended, as a copy of its request
-// that is still on its way would start the new one.
+// The caller may retransmit its Reserve before the reply arrives. It gets the same reservation, so
+// that it can't hold two places. A reservation that has ended is not replaced by a new one, which a
+// delayed copy of the old request would start.
 bool RequestOwner::answerDuplicate(const Handoff &handoff, Turn &turn)
 {
     const Reserve &reserve = reserveOf(handoff);
@@ -153,8 +153,8 @@
 
 std::optional<RefusalCause> RequestOwner::refusalByLimits(const Reserve &reserve) const
 {
-    // What runs is never forgotten, so that the only way to stay within the bound is to take no
-    // more.
+    // Records of running requests are never evicted: the only way to stay within the bound is to
+    // refuse new ones.
     if (m_table.full() || m_table.answerBytes() >= m_context.settings.maxAnswerBytes)
         return RefusalCause::TableFull;
     const ServiceConfig *service = m_context.config->service(reserve.service);
@@ -185,8 +185,8 @@
     }
     if (token.owner == m_context.identity.daemon)
         return handleOwned(caller, std::move(message), turn);
-    // The view may be wrong: then the owner runs the request all the same, once, and the caller has
-    // been told no more than that nobody knows.
+    // The view may be wrong about the owner. In that case the owner still runs the request, once,
+    // and "unknown" is a true answer for the caller.
     if (m_context.isGone(token.owner, token.incarnation)) {
         turn.sendToCaller(caller,
                           RequestMessage{OutcomeUnknown{message.request, UnknownCause::OwnerGone}});
@@ -206,7 +206,7 @@
                 return;
             }
             if (token.owner != m_context.identity.daemon) {
-                // Another daemon was started at the owner's address.
+                // The owner's address belongs to another daemon now.
                 turn.sendToCaller(message.caller, RequestMessage{OutcomeUnknown{
                                                       body.request, UnknownCause::OwnerGone}});
                 return;
@@ -227,8 +227,8 @@
         return;
     }
     RequestRecord *record = m_table.find(request);
-    // A copy that comes after its record was dropped finds none, or one of a later reservation: it
-    // may have run under the old one, and must not start the new one.
+    // A delayed copy, whose record was erased, finds none or the record of a later reservation. The
+    // request may have run under the earlier one and must not start again under the later one.
     if (!record || record->token != token) {
         turn.sendToCaller(caller, RequestMessage{OutcomeUnknown{request, UnknownCause::Expired}});
         return;
--- a/src/core/requests/request_owner.h
+++ b/src/core/requests/request_owner.h
@@ -5,22 +5,26 @@
 
 namespace baobabtrail {
 
-/// \brief Reserves requests, hands them to their owners, and answers for those owned here.
+/// \brief Reserves requests, forwards them to their owners, and runs those that this daemon owns to
+/// their outcome.
 ///
-/// Only the daemon that a reservation names dispatches its request, and only once, so that no view
-/// of the cluster and no lease has to be right for a request to run at most once.
+/// The owner of a request is the daemon that its reservation names. Only the owner dispatches it,
+/// and only once, so that it runs at most once without depending on a correct membership view or on
+/// a lease.
 class RequestOwner
 {
 public:
     RequestOwner(NodeContext &context, TargetLinks &links);
 
+    /// \brief Handles a Reserve, RequestData or CancelRequest; callers' other messages are ignored.
     void fromCaller(const Endpoint &caller, RequestMessage message, Turn &turn);
-    /// \brief A Reserve that another daemon handed over.
+    /// \brief Handles a Reserve that another daemon forwarded.
     void fromPeer(Handoff handoff, Turn &turn);
-    /// \brief A reserved request, or its cancellation, that another daemon handed over.
+    /// \brief Handles a reserved request, or its cancellation, that another daemon forwarded.
     void fromPeer(OwnerRequest message, Turn &turn);
 
-    /// \brief Ends what is over by time.
+    /// \brief Ends requests and reservations that have timed out, and erases outcomes that need not
+    /// be retained any longer.
     void advance(Turn &turn);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
 
@@ -29,6 +33,7 @@
     [[nodiscard]] const RequestTable &table() const noexcept { return m_table; }
 
 private:
+    /// \param forwarded Whether another daemon forwarded the Reserve to this one.
     void reserve(Handoff handoff, bool forwarded, Turn &turn);
     [[nodiscard]] bool offer(const Handoff &handoff, TargetId target, Duration &retryAfter,
                              Turn &turn);
@@ -36,6 +41,8 @@
     [[nodiscard]] std::optional<RefusalCause> refusalByLimits(const Reserve &reserve) const;
     void refuse(const Handoff &handoff, RefusalCause cause, Duration retryAfter, Turn &turn);
 
+    /// \brief Handles a message under a reservation here, or forwards it to the reservation's
+    /// owner.
     template <typename Message>
     void route(const Endpoint &caller, Message message, Turn &turn);
     template <typename Message>
--- a/src/core/requests/request_table.cpp
+++ b/src/core/requests/request_table.cpp
@@ -8,7 +8,7 @@
 bool RequestTable::shareExhausted(const std::string &workspace, std::uint32_t weight,
                                   std::uint64_t totalWeight) const noexcept
 {
-    // While there is room a workspace may use what others leave.
+    // While the table is less than half full, a workspace may use more than its share.
     if (m_records.size() < m_capacity / 2)
         return false;
     const auto found = m_perWorkspace.find(workspace);
--- a/src/core/requests/request_table.h
+++ b/src/core/requests/request_table.h
@@ -21,12 +21,12 @@
 
     [[nodiscard]] std::size_t size() const noexcept { return m_records.size(); }
     [[nodiscard]] bool full() const noexcept { return m_records.size() >= m_capacity; }
-    /// \return Whether a workspace has used up its share of a table that is getting full.
+    /// \return Whether the table is at least half full and a workspace has used up its share of it.
     /// \param weight Of the workspace, relative to \a totalWeight, the sum over all workspaces.
     [[nodiscard]] bool shareExhausted(const std::string &workspace, std::uint32_t weight,
                                       std::uint64_t totalWeight) const noexcept;
     [[nodiscard]] RequestRecord *find(const RequestId &id) noexcept;
-    /// \return The record whose attempt it is, or null where the attempt was given up.
+    /// \return The record of the attempt, or null where the attempt has ended or was abandoned.
     [[nodiscard]] RequestRecord *findAttempt(AttemptId attempt) noexcept;
 
     RequestRecord &add(RequestRecord record);
@@ -35,17 +35,17 @@
     void dropAttempt(AttemptId attempt) { m_attempts.erase(attempt); }
     [[nodiscard]] std::size_t runningAttempts() const noexcept { return m_attempts.size(); }
 
-    /// \brief Moves a record to a new state, which time alone changes at \a dueAt.
+    /// \brief Moves a record to a new state, which times out at \a dueAt.
     void setState(RequestRecord &record, RequestState state, TimePoint dueAt);
-    /// \return A record that is due, or null.
+    /// \return A record whose state has timed out by \a now, or null.
     [[nodiscard]] RequestRecord *due(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept;
 
     /// \return Requests that are reserved, queued or running.
     [[nodiscard]] std::size_t inProgress() const noexcept { return m_inProgress; }
-    /// \return Bytes of the answers that are kept.
+    /// \return Bytes of the retained answers.
     [[nodiscard]] std::size_t answerBytes() const noexcept { return m_answerBytes; }
-    /// \return Requests that run on a target, or wait for it.
+    /// \return Requests that run on a target or are queued for it, sorted.
     [[nodiscard]] std::vector<RequestId> ofTarget(TargetId target) const;
 
 private:
@@ -63,7 +63,7 @@
     std::unordered_map<RequestId, RequestRecord> m_records;
     std::unordered_map<AttemptId, RequestId> m_attempts;
     std::map<std::string, std::size_t> m_perWorkspace;
-    // An entry that no longer says when its record is due is skipped.
+    // Entries are not removed when their record changes: one that differs from dueAt is skipped.
     std::priority_queue<Due, std::vector<Due>, std::greater<>> m_due;
     std::size_t m_inProgress = 0;
     std::size_t m_answerBytes = 0;
