--- a/src/core/traffic/actions.h
+++ b/src/core/traffic/actions.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief What a TrafficNode wants done. Actions are carried out in their order; none reports back
-/// but through a later event.
+/// \brief Actions that a TrafficNode asks its daemon for. They are carried out in order; a result
+/// is reported by a later event only.
 
 #include "core/config/change.h"
 #include "core/messages/flow.h"
@@ -49,13 +49,13 @@
     Generation generation;
     LinkMessage message;
 };
-/// \brief Ask the control side to add a change to the log; asking twice with one id is harmless.
+/// \brief Ask the control side to append a change to the configuration log; idempotent by its id.
 struct ProposeCommand
 {
     std::string changeId;
     Command command;
 };
-/// \brief The graceful stop is complete: nothing is in progress any more.
+/// \brief The graceful stop is complete: nothing is in progress.
 struct Stopped
 {
 };
--- a/src/core/traffic/events.h
+++ b/src/core/traffic/events.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What goes into a TrafficNode. Each event is handled to its end before the next one.
+/// \brief Inputs of a TrafficNode. Each event is handled completely before the next one.
 
 #include "core/config/config.h"
 #include "core/membership/view.h"
@@ -18,7 +18,7 @@
     Endpoint caller;
     CallerMessage message;
 };
-/// \brief Only Handoff, HandoffReply and OwnerRequest reach a TrafficNode.
+/// \brief A datagram of another daemon; only with a Handoff, HandoffReply or OwnerRequest.
 struct FromPeer
 {
     Endpoint address;
@@ -29,13 +29,13 @@
     Endpoint address;
     TargetDatagram datagram;
 };
-/// \brief The TCP connection that an OpenLink asked for is there.
+/// \brief The TCP connection that an OpenLink asked for is established.
 struct LinkOpened
 {
     TargetId target;
     Generation generation;
 };
-/// \brief The connection broke or could not be made.
+/// \brief The connection broke or could not be established.
 struct LinkClosed
 {
     TargetId target;
@@ -55,11 +55,11 @@
 {
     ViewPtr view;
 };
-/// \brief Begin a graceful stop: no new work, finish what is in progress.
+/// \brief Begin a graceful stop: refuse new work and finish what is in progress.
 struct StopRequested
 {
 };
-/// \brief The time that nextTimer() named has come.
+/// \brief The time that nextTimer() returned has been reached.
 struct TimerExpired
 {
 };
--- a/src/core/traffic/handoffs.cpp
+++ b/src/core/traffic/handoffs.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Most own targets that one ask is offered to before it is handed on.
+/// Bound on the owned targets to which one flow or request is offered.
 constexpr int MaxOwnedTargetOffers = 8;
 
 void sendToCaller(Turn &turn, const Endpoint &caller, const PlacementReply &reply)
@@ -35,7 +35,7 @@
 
 LoadHint declinedLoad(const NodeContext &context, TargetId target, TimePoint now)
 {
-    // A stopping daemon takes nothing, however low its loads are.
+    // A stopping daemon accepts nothing, however low the loads of its targets are.
     if (context.stopping)
         return {target, WorstLoad, WorstLoad};
     return context.targets.loadOf(target, now);
@@ -49,7 +49,7 @@
         if (!choice)
             return false;
         if (!choice->own) {
-            // Owners whose views differ could pass an ask round in a ring; the count ends it.
+            // Owners with different views could forward a handoff in a loop; the hop count ends it.
             if (forwarded && handoff.hops >= context.settings.maxHops)
                 return false;
             if (choice->owner.isNull() || choice->owner == context.identity.address)
--- a/src/core/traffic/handoffs.h
+++ b/src/core/traffic/handoffs.h
@@ -6,41 +6,44 @@
 
 namespace baobabtrail {
 
-/// \brief Reply to an ask for a flow or a request.
+/// \brief Reply to an OpenFlow or a Reserve.
 using PlacementReply = decltype(HandoffReply::reply);
 
-/// \brief How an ask is placed: the parts in which flows and requests differ.
+/// \brief The steps of a placement in which flows and requests differ.
 struct PlacementCallbacks
 {
-    /// Chooses a target that is not among those that declined.
+    /// Chooses a target other than those that declined.
     std::function<std::optional<PlacementChoice>(const std::vector<LoadHint> &declined)> choose;
-    /// Tries one of the own targets; returns whether it took the ask.
+    /// Offers the flow or request to a target that this daemon owns; returns whether it was
+    /// accepted.
     std::function<bool(const Handoff &handoff, TargetId target)> offer;
 };
 
-/// \return An ask as it starts at the daemon that the caller reached.
+/// \return A new Handoff for a caller's message, with this daemon as the entry.
 [[nodiscard]] Handoff newHandoff(const NodeContext &context, const Endpoint &caller,
                                  std::variant<OpenFlow, Reserve> body);
 
-/// \return The load of an own target that did not take an ask, as it is told to the next owner.
+/// \return The load of an owned target that declined, for the hints that the next owner gets.
 [[nodiscard]] LoadHint declinedLoad(const NodeContext &context, TargetId target, TimePoint now);
 
-/// \brief Offers an ask to own targets, or hands it over to the owner of another one.
-/// \param forwarded Whether handing it over is a forward, which is bounded.
-/// \return Whether it found a place; if not, the caller has to be refused.
+/// \brief Offers a flow or request to targets that this daemon owns, or forwards it to the owner of
+/// another target.
+/// \param forwarded Whether it came from another daemon: passing it on then counts as a hop, and
+/// hops are bounded.
+/// \return Whether it was placed or forwarded; if not, the caller has to be refused.
 [[nodiscard]] bool placeOrForward(NodeContext &context, Turn &turn, Handoff &handoff,
                                   bool forwarded, const PlacementCallbacks &callbacks);
 
-/// \brief Gives an ask back to the daemon that the caller reached, where this one knows no target
-/// that may take it: a daemon that has joined a moment ago knows less than the one that asked it.
-/// \return Whether it was given back; if not, the caller has to be refused.
+/// \brief Returns a flow or request to its entry, the daemon that the caller reached, where this
+/// daemon knows no target for it: after a recent join it knows less than the entry.
+/// \return Whether it was returned; if not, the caller has to be refused.
 [[nodiscard]] bool returnToEntry(NodeContext &context, Turn &turn, Handoff &handoff);
 
-/// \brief Answers an ask, through the daemon that the caller reached.
+/// \brief Sends the reply to the caller, through the daemon that the caller reached.
 void replyToHandoff(NodeContext &context, Turn &turn, const Handoff &handoff,
                     const PlacementReply &reply);
 
-/// \brief Passes a reply on to its caller and takes in the loads that ride on it.
+/// \brief Relays another daemon's reply to the caller, and applies its load hints.
 void relayReply(NodeContext &context, Turn &turn, const HandoffReply &reply);
 
 } // namespace baobabtrail
