--- a/src/core/traffic/retirement.cpp
+++ b/src/core/traffic/retirement.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Duration CheckPeriod = 1s;
-/// How long a target has to stay empty: an open that another daemon offered before it heard of the
-/// retirement may be accepted after the report that says zero.
+/// How long a target has to stay idle before its removal: it may still accept a flow that another
+/// daemon offered before it knew of the retirement, after a report of no flows.
 constexpr Duration MinIdleTime = 5s;
 constexpr Duration FirstBackOff = 5s;
 constexpr Duration MaxBackOff = 60s;
-/// A report older than this says nothing about now.
+/// A load report older than this is not taken as evidence that the target is idle.
 constexpr Duration MaxReportAge = 5s;
 
 } // namespace
@@ -71,7 +71,7 @@
     const TargetConfig *config = m_context.target(target);
     if (!service || !config)
         return;
-    // The same id from every daemon that thinks it owns the target: the log takes it once.
+    // Every daemon that believes it owns the target uses the same id: the log applies it once.
     const std::string changeId = "remove-" + std::to_string(target.value()) + "-"
                                  + std::to_string(config->generation.value());
     const TargetName name{{service->workspace, service->name}, config->name};
--- a/src/core/traffic/retirement.h
+++ b/src/core/traffic/retirement.h
@@ -7,11 +7,11 @@
 
 namespace baobabtrail {
 
-/// \brief Ends the retirement of own targets: has them removed once they hold nothing any more.
+/// \brief Completes the retirement of owned targets: proposes their removal once they are idle.
 class Retirement
 {
 public:
-    /// \param inUse Whether something is in progress here at a target.
+    /// \param inUse Returns whether this daemon has work in progress at a target.
     Retirement(NodeContext &context, std::function<bool(TargetId)> inUse)
         : m_context(context)
         , m_inUse(std::move(inUse))
--- a/src/core/traffic/target_links.cpp
+++ b/src/core/traffic/target_links.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration HelloPeriod = 2s;
-/// A connection on which so many hellos stay unanswered is as good as broken.
+/// A connection with this many unanswered hellos counts as broken.
 constexpr std::uint32_t MaxUnansweredHellos = 3;
 
 struct WantedLink
@@ -17,7 +17,7 @@
     const TargetConfig *target;
 };
 
-/// \return Targets that the configuration names, without those that were cut.
+/// \return The configured targets, without those that were cut.
 [[nodiscard]] std::map<TargetId, WantedLink> connectable(const Config &config)
 {
     std::map<TargetId, WantedLink> targets;
@@ -47,9 +47,9 @@
         const bool wasUnowned
             = std::exchange(link.unowned, gone || !m_context.targets.owns(target));
         if (wasUnowned && !link.unowned && link.open)
-            sendHello(target, link, turn); // What was known of it was dropped with the ownership.
-        // A cut, or another target under the same name, ends the connection at once: its address
-        // may be another service's by now. Otherwise work in progress is finished first.
+            sendHello(target, link, turn); // The table dropped its state with the ownership.
+        // A cut, or a new generation under the same name, closes the connection at once: the
+        // address may belong to another service now. Otherwise work in progress is finished first.
         const bool cut = m_context.config->target(link.service, target) && gone;
         if (!cut && (!link.unowned || inUse(target))) {
             m_unownedLinks += link.unowned ? 1 : 0;
@@ -122,8 +122,8 @@
 {
     Link &link = m_links.at(target);
     link.unansweredHellos = 0;
-    // A target may have moved to another service while the configuration still on its way says
-    // otherwise. What it says of itself decides; until then it gets nothing.
+    // The address may serve another service already, before the new configuration arrives. The
+    // target's own reply decides; without it, the target gets no work.
     link.verified = reply.service == link.service;
     m_context.targets.linkVerified(target, reply.service, reply.load, turn.now);
     if (!link.verified)
--- a/src/core/traffic/target_links.h
+++ b/src/core/traffic/target_links.h
@@ -8,7 +8,7 @@
 
 namespace baobabtrail {
 
-/// \brief The connections to the targets that this daemon owns, or still has work on.
+/// \brief The connections to targets that this daemon owns, or has work in progress on.
 class TargetLinks
 {
 public:
@@ -17,27 +17,27 @@
     {
     }
 
-    /// \brief Opens and closes connections as configuration, ownership and use ask for.
-    /// \param inUse Whether work is left at a target.
-    /// \return Targets whose connection was closed while it may have been in use.
+    /// \brief Opens and closes connections to match configuration, ownership and use.
+    /// \param inUse Returns whether this daemon has work in progress at a target.
+    /// \return Targets whose connection was closed although it may have been in use.
     [[nodiscard]] std::vector<TargetId> reconcile(const std::function<bool(TargetId)> &inUse,
                                                   Turn &turn);
-    /// \brief Closes connections that were kept for work alone, once it is done.
+    /// \brief Closes connections to targets that are no longer owned, once no work is in progress.
     void closeIdle(const std::function<bool(TargetId)> &inUse, Turn &turn);
     void opened(TargetId target, Generation generation, Turn &turn);
-    /// \return Whether it was the connection that is in use.
+    /// \return Whether it was the current connection.
     [[nodiscard]] bool closed(TargetId target, Generation generation, Turn &turn);
-    /// \return Whether it came over the connection that is in use.
+    /// \return Whether the current connection to the target is of this generation.
     [[nodiscard]] bool isCurrent(TargetId target, Generation generation) const noexcept;
-    /// \return Whether the target may get work since.
+    /// \return Whether the target is the expected one and may get work.
     [[nodiscard]] bool helloReply(TargetId target, const LinkHelloReply &reply, Turn &turn);
 
-    /// \brief Sends hellos that are due.
-    /// \return Targets that no longer answer; their connection was closed.
+    /// \brief Sends hellos that are due, and reopens broken connections.
+    /// \return Targets that stopped answering; their connection was closed.
     [[nodiscard]] std::vector<TargetId> advance(Turn &turn);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const noexcept { return m_nextTimer; }
 
-    /// \return The generation that may get work now, or nothing.
+    /// \return The generation of the target where it may get work now, or nothing.
     [[nodiscard]] std::optional<Generation> usableGeneration(TargetId target) const noexcept;
 
 private:
@@ -48,10 +48,10 @@
         Endpoint address;
         bool open = false;
         bool verified = false;
-        bool unowned = false; ///< Not owned any more.
+        bool unowned = false; ///< No longer owned; open while work is in progress.
         std::uint32_t unansweredHellos = 0;
         std::optional<TimePoint>
-            retryAt; ///< When to open it, where it is neither open nor opening.
+            retryAt; ///< When to reconnect; only while it is neither open nor opening.
         TimePoint helloAt;
     };
 
