--- a/src/core/traffic/node_context.cpp
+++ b/src/core/traffic/node_context.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// Bound on the former members of the view that are retained.
 constexpr std::size_t MaxDeparted = 256;
 
 } // namespace
@@ -58,7 +59,7 @@
     if (const Member *member = view->find(daemon))
         return member->incarnation > incarnation
                || (member->incarnation == incarnation && member->state == MemberState::Dead);
-    // One that was never in the view may have joined a moment ago.
+    // A daemon that was never in the view may have joined just now.
     const auto found = departed.find(daemon);
     return found != departed.end() && found->second >= incarnation;
 }
--- a/src/core/traffic/node_context.h
+++ b/src/core/traffic/node_context.h
@@ -19,7 +19,7 @@
 
 namespace baobabtrail {
 
-/// \brief What the parts of a TrafficNode share.
+/// \brief The state that the parts of a TrafficNode share.
 struct NodeContext
 {
     NodeContext(NodeIdentity identity, TrafficSettings settings,
@@ -34,35 +34,36 @@
     ViewPtr view;     ///< Never null.
     bool stopping = false;
     std::uint64_t workspaceWeights = 0; ///< Sum of the workspaces' shares.
-    std::unordered_map<TargetId, const TargetConfig *> targetIndex; ///< Into the configuration.
+    std::unordered_map<TargetId, const TargetConfig *> targetIndex; ///< Points into config.
 
-    /// Members that were in the view and are no longer; bounded.
+    /// Former members of the view; bounded.
     std::unordered_map<DaemonId, Incarnation> departed;
 
-    /// \brief Takes a view, and remembers who left it.
+    /// \brief Applies a view, and adds members that left it to \a departed.
     void setView(ViewPtr newest);
-    /// \return Whether this life of the daemon is over as far as is known here: it is dead, left
-    /// the view, or was started anew.
+    /// \return Whether this incarnation of the daemon has ended as far as is known here: it is
+    /// dead, left the view, or was restarted.
     [[nodiscard]] bool isGone(DaemonId daemon, Incarnation incarnation) const noexcept;
-    /// \brief Takes a configuration that is not older than the one in force.
+    /// \brief Applies a configuration, which must not be older than the one in force.
     void setConfig(ConfigPtr newest);
-    /// \return The target, of whichever service, or null.
+    /// \return The configuration of the target, of any service, or null.
     [[nodiscard]] const TargetConfig *target(TargetId id) const noexcept
     {
         const auto found = targetIndex.find(id);
         return found == targetIndex.end() ? nullptr : found->second;
     }
-    /// \return A time between half of \a mean and one and a half of it, so that callers that were
-    /// refused together don't return together.
+    /// \return A random time between half of \a mean and one and a half of it, so that callers that
+    /// were refused together don't retry together.
     [[nodiscard]] Duration jittered(Duration mean)
     {
         using Draw = boost::random::uniform_int_distribution<Duration::rep>;
         return Duration{Draw{mean.count() / 2, mean.count() + mean.count() / 2}(random)};
     }
 
-    /// \brief A daemon that started a moment ago knows no service yet. To say so would end the ask
-    /// although every other daemon could place it; left without an answer, the caller asks again
-    /// and the fabric hands it elsewhere.
+    /// \return Whether a configuration has been received. A daemon that has just started knows no
+    /// service: to refuse a flow or request as of an unknown service would end it, although every
+    /// other daemon could place it. Without an answer the caller retransmits, and the fabric
+    /// delivers that to another daemon.
     [[nodiscard]] bool configured() const noexcept { return !config->revision.isNull(); }
 
     /// \return Whether the configuration has the service.
@@ -72,7 +73,8 @@
     }
 };
 
-/// \brief The handling of one event: its time, and the actions that it brings about.
+/// \brief One turn of the event loop: the time at which an event is handled, and the actions that
+/// it causes.
 struct Turn
 {
     TimePoint now;
@@ -90,13 +92,13 @@
     void observe(const Observation &observation);
 };
 
-/// \brief Time until a refused caller may come back where no queue foresees a better one.
+/// \brief Time after which a refused caller should retry, where no queue predicts a better one.
 inline constexpr Duration DefaultRetryAfter = 200ms;
 
-/// Load of a target that must not be chosen again; larger than any that is told.
+/// Load of a target that must not be chosen again; larger than any reported load.
 inline constexpr float WorstLoad = 1e9F;
 
-/// \return The earlier of two times, where nothing is later than all.
+/// \return The earlier of two times; nothing counts as later than any time.
 [[nodiscard]] inline std::optional<TimePoint> earlier(std::optional<TimePoint> a,
                                                       std::optional<TimePoint> b) noexcept
 {
--- a/src/core/traffic/traffic_node.cpp
+++ b/src/core/traffic/traffic_node.cpp
@@ -10,8 +10,10 @@
 
 namespace {
 
-/// How long a stopping daemon stays to send answers again, once nothing is in progress.
+/// How long a stopping daemon still retransmits answers once nothing is in progress.
 constexpr Duration StopLinger = 1s;
+/// Bounds how often the target table is scanned for its next timer, and how soon that timer
+/// repeats.
 constexpr Duration MinTimerInterval = 10ms;
 
 } // namespace
@@ -52,7 +54,7 @@
     Retirement m_retirement;
     TimePoint m_advancedAt{};
     TimePoint m_targetsCheckedAt{};
-    std::optional<TimePoint> m_targetsTimer; ///< Of the target table.
+    std::optional<TimePoint> m_targetsTimer; ///< Next timer of the target table.
     std::optional<TimePoint> m_stopAt;
     bool m_stopped = false;
 };
@@ -69,13 +71,13 @@
 
 void TrafficNode::Impl::handle(TrafficEvent event, Turn &turn)
 {
-    // A daemon that was paused handles what waited for it first of all in time, not in the order
-    // in which it arrives: what is past its deadline ends before anything else starts.
+    // After a stall, timeouts are handled before the messages that arrived meanwhile: requests past
+    // their deadline end before anything else starts.
     m_requests.advance(turn);
     std::visit([&](auto &&e) { on(std::forward<decltype(e)>(e), turn); }, std::move(event));
     if (m_context.stopping)
         stopWhenDone(turn);
-    // The table looks at every target for it: too much for each datagram.
+    // This scans all targets, which is too expensive for each datagram.
     if (turn.now < m_targetsCheckedAt + MinTimerInterval)
         return;
     m_targetsCheckedAt = turn.now;
@@ -217,7 +219,8 @@
 std::optional<TimePoint> TrafficNode::Impl::nextTimer() const
 {
     std::optional<TimePoint> next = m_targetsTimer;
-    // A probe stays due until an ask comes that can serve as one; the timer must not spin on it.
+    // A probe stays due until a flow or request arrives that can serve as one; without a minimum
+    // interval the timer would fire continuously.
     if (next)
         next = std::max(*next, m_advancedAt + MinTimerInterval);
     next = earlier(next, m_flows.nextTimer());
--- a/src/core/traffic/traffic_node.h
+++ b/src/core/traffic/traffic_node.h
@@ -14,9 +14,10 @@
 
 namespace baobabtrail {
 
-/// \brief All decisions of one daemon about flows and requests.
+/// \brief Decides on all flows and requests of one daemon.
 ///
-/// Holds no socket, clock, thread or global: events and the time go in, actions come out.
+/// Uses no sockets, clocks, threads or globals: it is given events and the time, and returns
+/// actions.
 ///
 /// \code
 /// TrafficNode node{identity, settings, keys, seed};
@@ -28,10 +29,10 @@
 class TrafficNode
 {
 public:
-    /// \param identity Who this daemon is.
-    /// \param settings Bounds and times.
-    /// \param keys Shared with the caller of the constructor, who rotates them.
-    /// \param seed Seed of every random choice.
+    /// \param identity Identity of this daemon.
+    /// \param settings Limits and timeouts.
+    /// \param keys Keys that seal tokens; the caller of the constructor rotates them.
+    /// \param seed Seed of all random choices.
     TrafficNode(NodeIdentity identity, TrafficSettings settings,
                 std::shared_ptr<const KeyRing> keys, std::uint64_t seed);
     ~TrafficNode();
@@ -39,13 +40,15 @@
     TrafficNode &operator=(const TrafficNode &) = delete;
 
     /// \brief Handles one event.
-    /// \param event What happened. \param now When. \param out Actions are added at its end.
+    /// \param event The event.
+    /// \param now Time at which it is handled.
+    /// \param out The resulting actions are appended to it.
     void handle(TrafficEvent event, TimePoint now, TrafficActions &out);
 
-    /// \return When TimerExpired is wanted next, or nothing.
+    /// \return Time of the next TimerExpired that is needed, or nothing.
     [[nodiscard]] std::optional<TimePoint> nextTimer() const;
 
-    /// \brief Counts of what the node holds now, for metrics and bounds.
+    /// \brief Current counts, for metrics and limits.
     struct Counts
     {
         std::size_t requests = 0;
@@ -55,7 +58,7 @@
     };
     [[nodiscard]] Counts counts() const noexcept;
 
-    /// \brief What the node knows of the targets that it owns, for queries.
+    /// \brief Status of the owned targets, for operators' queries.
     [[nodiscard]] std::vector<TargetStatus> targetStatus(TimePoint now) const;
 
 private:
