--- a/tests/requests/change_test.cpp
+++ b/tests/requests/change_test.cpp
@@ -5,8 +5,8 @@
 using namespace baobabtrail;
 using namespace baobabtrail::fake;
 
-// Operators drain a target that has one request running and one waiting. The running one is
-// answered; the waiting one must not start there after a few seconds, so it is refused by then.
+// A target is drained while one request runs on it and one is queued. The running one is answered;
+// the queued one must not start there long after the drain began, and is refused within 3 seconds.
 Test(requestChange, emptiesTheQueueOfADrainingTarget)
 {
     NodeRig fixture;
@@ -22,7 +22,8 @@
     cr_assert(fixture.onLinks<Dispatch>().empty());
 }
 
-// Another target of the service is there: what waits moves to it instead of being refused.
+// Two targets drain; one becomes active again, and the queued request moves there instead of being
+// refused.
 Test(requestChange, movesTheQueueToAnotherTarget)
 {
     NodeRig fixture{2};
@@ -45,8 +46,8 @@
     cr_assert_eq(fixture.node.counts().runningAttempts, 2);
 }
 
-// The target passes to another daemon while its request runs and one more is reserved. Both end
-// here; then the link is closed, not before.
+// A target moves to another owner while one request runs on it and another one is reserved. Both
+// are finished by this daemon, and only then the link is closed.
 Test(requestChange, finishesWorkOnATargetThatItNoLongerOwns)
 {
     NodeRig fixture;
@@ -66,10 +67,9 @@
     cr_assert_eq(fixture.all<CloseLink>().size(), 1);
 }
 
-// A target passes to another daemon, which fills its slots before this one has heard of it. A
-// request that waits here has 150 ms left and a run takes 100 ms: behind the new owner's work it
-// would still run when its deadline passes and end as unknown. Its caller is told at once that it
-// has not run.
+// A target moves to another owner, which fills its slots before this daemon knows of the move. A
+// queued request has 150 ms left and a run takes 100 ms: behind the new owner's work it would miss
+// its deadline while it runs and end as unknown. It must be refused as not run at once.
 Test(requestChange, startsNothingBehindTheNewOwnersWorkThatCannotEndInTime)
 {
     for (const std::uint32_t othersQueued : {0U, 1U}) {
@@ -86,7 +86,8 @@
     }
 }
 
-// A cut is explicit: the link closes at once, what runs ends as unknown, what waits as not run.
+// An operator cuts a target: its link closes at once, the running request ends as unknown, the
+// queued one as not run.
 Test(requestChange, cutEndsEverythingAtOnce)
 {
     NodeRig fixture;
@@ -99,9 +100,9 @@
     cr_assert_eq(fixture.toCaller<NotRun>().at(0).request.low, 2);
 }
 
-// The address of a target serves another service by now, which the configuration on its way will
-// say. The target says so itself when asked, and gets nothing; when it says so later, it gets
-// nothing more.
+// The address of a target serves another service already, before the new configuration arrives. The
+// target's hello reply names that service: from then on it must get no work, neither new nor
+// queued.
 Test(requestChange, sendsNothingToATargetThatServesAnotherService)
 {
     NodeRig fixture{1, 2};
@@ -114,7 +115,7 @@
     cr_assert(fixture.onLinks<Dispatch>().empty());
     cr_assert(!fixture.reserve(fixture.ask(3)));
 
-    // Also while it drains, when what waits may still start there.
+    // Also while it drains, when queued requests may still start there.
     NodeRig draining;
     const auto running = draining.start(draining.ask(1));
     cr_assert(!draining.start(draining.ask(2)));
@@ -131,7 +132,8 @@
     cr_assert(!fresh.reserve(fresh.ask(1)));
 }
 
-// A target answers with the attempt of another target, as one that mixes up its connections may.
+// A target that mixes up its connections answers an attempt of another target. That answer, and one
+// of an earlier generation, must not reach the caller.
 Test(requestChange, acceptsAnAnswerOnlyFromTheTargetOfTheAttempt)
 {
     NodeRig fixture{2};
@@ -147,8 +149,9 @@
     cr_assert_eq(fixture.toCaller<Answer>().size(), 1);
 }
 
-// A planned stop: one request runs, one waits, one is reserved. All are answered, new ones are sent
-// to come back, the last answer can be asked for again, and only then is the stop complete.
+// A graceful stop while one request runs, one is queued and one is reserved. All three are
+// answered, new flows and requests are refused, and the stop completes only after a time in which
+// the last answer can still be retransmitted.
 Test(requestChange, stopsOnceAllIsAnswered)
 {
     NodeRig fixture;
@@ -182,8 +185,8 @@
     cr_assert_eq(idle.all<Stopped>().size(), 1);
 }
 
-// A target hangs: its connection stays open and hellos stay unanswered. The link is given up after
-// a few and tried again; what ran on it is unknown at that moment, not at its deadline.
+// A target hangs: its connection stays open, but hellos get no reply. After a few the link is
+// closed and reopened, and its running request ends as unknown then, not only at its deadline.
 Test(requestChange, closesAnUnresponsiveLink)
 {
     NodeRig fixture;
@@ -195,8 +198,9 @@
     cr_assert(!fixture.all<OpenLink>().empty());
 }
 
-// A retiring target is removed only when it has held nothing for a while, reported afresh, and
-// nothing is in progress; the proposal is repeated under one id, and not after the removal.
+// The removal of a retiring target is proposed only once fresh load reports have shown it idle for
+// some time and nothing is in progress here. Repeated proposals use one id, and end with the
+// removal.
 Test(requestChange, proposesTheRemovalOfAnEmptyTarget)
 {
     NodeRig fixture;
@@ -223,9 +227,9 @@
     cr_assert(passWithReports(60s, {}).empty());
 }
 
-// Two targets of one owner run a request each, a third request waits in the queue of one of them.
-// Whichever target comes free must run it at once: its caller would wait beside a free slot.
-// A target that drains takes nothing from the other's queue.
+// Two targets of one owner run a request each, and a third request is queued at one of them. The
+// target that is free first must run it at once, or the request would wait beside a free slot. A
+// draining target must not steal from the other one's queue.
 Test(requestChange, anIdleTargetStealsFromItsOwnersOtherQueues)
 {
     for (const std::size_t freed : {0, 1}) {
@@ -240,7 +244,7 @@
                 fixture.config.services[fixture.service].targets[running[freed].first].state
                     = TargetState::Draining;
                 fixture.publish();
-                fixture.pass(3s); // Its own queue is empty by then.
+                fixture.pass(3s); // Empties its queue.
             }
             fixture.done(running[freed]);
             const auto next = fixture.onLinks<Dispatch>();
@@ -251,9 +255,9 @@
     }
 }
 
-// A VM was replaced a moment ago and its daemon has no configuration yet; the fabric sprays at it
-// already. A refusal would end what every other daemon could serve: it must not answer at all, so
-// that the caller asks again elsewhere. Once it is configured, an unknown service is refused.
+// The daemon of a replaced VM has no configuration yet, but the fabric already sends it datagrams.
+// A refusal would end flows and requests that every other daemon could serve: it must not answer,
+// so that the caller retries elsewhere. Once it is configured, it refuses an unknown service.
 Test(requestChange, aDaemonWithoutConfigurationAnswersNothing)
 {
     for (const bool configured : {false, true}) {
--- a/tests/requests/owner_test.cpp
+++ b/tests/requests/owner_test.cpp
@@ -5,9 +5,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::fake;
 
-// A swap request and its reservation are sent several times, as the network or the caller repeats
-// them. The target must see it once, and every copy is answered from what the owner keeps; after
-// a bounded number of resends the owner stays silent, so that it can't be used as an amplifier.
+// A non-idempotent request and its Reserve arrive several times, duplicated or retransmitted. The
+// target must get the request once, and copies get the retained answer, up to a bounded number of
+// resends, so that the owner can't be used as an amplifier.
 Test(requestOwner, dispatchesOnceForAllCopiesAndKeepsTheAnswer)
 {
     NodeRig fixture;
@@ -37,8 +37,8 @@
     cr_assert_eq(fixture.node.counts().requests, 0);
 }
 
-// A copy of a request stays in the network until its record is gone and its id was reserved anew.
-// It may have run under the old reservation: it starts nothing, the new reservation is untouched.
+// A delayed copy of a request arrives after its record has expired and its id was reserved again.
+// It may have run under the earlier reservation, and must not start under the later one.
 Test(requestOwner, startsNothingUnderAnEarlierReservation)
 {
     NodeRig fixture;
@@ -53,7 +53,7 @@
     cr_assert_eq(fixture.onLinks<Dispatch>().size(), 1);
 }
 
-// An answer longer than a datagram comes in parts that make up the whole, in order.
+// An answer longer than a datagram is sent in parts, in order.
 Test(requestOwner, splitsLongAnswers)
 {
     NodeRig fixture;
@@ -71,9 +71,9 @@
     cr_assert(joined == payload);
 }
 
-// The owner's VM is paused while a swap waits for a slot; it wakes after the deadline and finds the
-// finished attempt of another request first. The caller has given the swap up: nothing may start,
-// and the refusal leaves before anything else is handled.
+// The owner's VM stalls while a request is queued, and resumes after the deadline. The first event
+// then frees a slot. The request must be refused before that event is handled, and not start: its
+// caller has given up waiting.
 Test(requestOwner, startsNothingPastItsDeadlineAfterAPause)
 {
     NodeRig fixture;
@@ -85,8 +85,8 @@
     cr_assert_eq(fixture.toCaller<NotRun>().at(0).cause, RefusalCause::DeadlinePassed);
 }
 
-// The deadline passes while the target works. The caller hears "unknown" at that moment, the target
-// is told to stop, and what it still answers reaches nobody.
+// The deadline passes while a request runs. The caller gets an unknown outcome at once, the target
+// is asked to cancel, and its late answer is ignored.
 Test(requestOwner, endsARunningRequestAtItsDeadline)
 {
     NodeRig fixture;
@@ -99,8 +99,9 @@
     cr_assert_eq(fixture.node.counts().runningAttempts, 0);
 }
 
-// A request that would be dispatched with too little time left to run ends as "not run": as
-// "unknown" its caller could not ask again. The time that runs take is learnt, and unlearnt.
+// A request with less time left than a run takes is refused as "not run" instead of being
+// dispatched: it would end as unknown, which a caller can't retry safely. The expected run time
+// follows the attempts, and decays with such refusals.
 Test(requestOwner, startsNothingThatCannotEndInTime)
 {
     NodeRig fixture;
@@ -118,16 +119,16 @@
     cr_assert(fixture.onLinks<Dispatch>().empty());
     cr_assert_eq(fixture.toCaller<NotRun>().size(), 1);
 
-    // The target is fast again; requests with little time get through to it before long.
+    // The target is fast again: requests with little time left must reach it after some refusals.
     int refused = 0;
     while (refused < 100 && !fixture.start(fixture.ask(200 + refused, 300ms)))
         ++refused;
     cr_assert(refused < 100);
 }
 
-// The connection to the target breaks while a request runs: nobody knows whether it ran. A swap is
-// not sent again. An idempotent upload is, but once a second target refuses it "not run" can't be
-// said any more, for the first one may have run it.
+// The connection to the target breaks while a request runs, which may have run. It is retried only
+// if it is idempotent; if the second target sheds it then, the outcome must still be unknown, as
+// the first one may have run it.
 Test(requestOwner, neverRepeatsWhatMayHaveRun)
 {
     NodeRig swap{2};
@@ -153,8 +154,8 @@
     cr_assert_eq(upload.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
 }
 
-// Both targets shed whatever they get. Each shed request may go to the other one, but all retries
-// together stay within the workspace's budget: ten saved up and a tenth of the first attempts.
+// Both targets shed every request. A shed request may be retried at the other one, but all retries
+// must stay within the workspace's retry budget: an initial 10, plus 10 % of the first attempts.
 Test(requestOwner, keepsRetriesWithinTheBudget)
 {
     NodeRig fixture{2, 4};
@@ -177,8 +178,8 @@
     cr_assert_eq(refused, Requests);
 }
 
-// Tokens that this owner must not act on: of its earlier life, of another daemon, forged, or of a
-// record that is gone. The first three run nothing; the caller is told what is known at once.
+// Reservation tokens that this daemon must not act on: of its earlier incarnation, of another
+// daemon, or forged. None of them may start a request; the caller is told at once what is known.
 Test(requestOwner, actsOnlyOnItsOwnReservations)
 {
     NodeRig fixture;
@@ -201,7 +202,7 @@
                              OwnerRequest{NodeRig::Caller, RequestData{request, other, ""}}}});
     cr_assert_eq(fixture.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::OwnerGone);
 
-    // The other daemon joins, is suspected, leaves the view as the dead do, and is started anew.
+    // The other daemon joins, is suspected, leaves the view as dead members do, and is restarted.
     Member member{DaemonId{101}, Incarnation{5},     NodeRig::OtherPeer, {},
                   "alx-raml",    MemberState::Alive, Revision{10}};
     const auto handedOver = [&](std::vector<Member> others) {
@@ -233,9 +234,9 @@
     cr_assert_eq(fixture.onLinks<Dispatch>().size(), 1);
 }
 
-// A caller whose Reserve was repeated holds two owners' reservations and keeps to the first. This
-// owner's lapses: its place is freed, and nothing is said, for the caller would take it as the end
-// of the request that runs elsewhere. If the request comes after all, it is refused.
+// A caller whose Reserve was duplicated holds reservations of two owners and uses the first one.
+// The unused one expires: its place is freed without a message, which the caller could mistake for
+// the outcome of its running request. If the request arrives after all, it is refused.
 Test(requestOwner, expiresAReservationSilently)
 {
     NodeRig fixture;
@@ -249,8 +250,8 @@
     cr_assert(refusal.owner == NodeRig::identity().daemon);
 }
 
-// A cancelled request that waits is refused at once. One that runs is the target's to judge: its
-// word that it did not run, or its answer, is what the caller gets.
+// A cancelled request that is queued is refused at once. For a running one the target decides: the
+// caller gets its answer, or its report that the request did not run.
 Test(requestOwner, cancels)
 {
     NodeRig fixture;
@@ -276,8 +277,8 @@
     cr_assert(fixture.onLinks<Dispatch>().empty());
 }
 
-// A pass check arrives while uploads fill the queue: the newest upload gives way and is refused in
-// the same moment, before its deadline. What runs is never given up for it.
+// An urgent request arrives while bulk requests fill the queue. The newest bulk request is
+// displaced and must be refused at once, not at its deadline; running requests are never displaced.
 Test(requestOwner, refusesADisplacedRequestAtOnce)
 {
     NodeRig fixture;
@@ -295,7 +296,8 @@
     cr_assert_eq(fixture.node.counts().runningAttempts, 1);
 }
 
-// The table is full: new work is refused with a time to come back, all that is there goes on.
+// The request table is full, or retained answers reach their limit: new requests are refused with
+// a time to retry after, and those in progress continue.
 Test(requestOwner, refusesAtItsLimits)
 {
     TrafficSettings settings;
