--- a/tests/matrix/cell.h
+++ b/tests/matrix/cell.h
@@ -7,6 +7,7 @@
 
 namespace baobabtrail::fake {
 
+/// \brief Faults that a cell can inject; in the order of FaultNames.
 enum class Fault {
     None,
     DaemonKill,
@@ -30,6 +31,7 @@
     KeyRotation,
 };
 
+/// Names of faults and steps as BAOBABTRAIL_CELL has them.
 inline constexpr std::array FaultNames{"none",          "daemon-kill",  "daemon-restart",
                                        "daemon-freeze", "cut",          "loss",
                                        "duplicate",     "delay",        "reorder",
@@ -41,21 +43,24 @@
                                       "dispatch",       "running",     "answer",
                                       "retransmission", "drain",       "stop"};
 
-/// \brief A fault and the step at which it strikes.
+/// \brief A fault, and the step at which it is injected.
 struct FaultInjection
 {
     Fault fault = Fault::None;
     Step step = Step::Open;
 };
 
-/// \brief One cell of the fault matrix: four daemons, six targets of two services, flows and
-/// requests; a target drains and a daemon stops in every cell; one or two faults strike.
+/// \brief One cell of the fault matrix: flows and requests through four daemons to six targets of
+/// two services, while a target drains and a daemon stops, with one or two injected faults.
+///
+/// A fault is injected when the focal flow or request, which the cell follows, reaches its step, or
+/// when the drain or the stop begins.
 class Cell
 {
 public:
     Cell(std::vector<FaultInjection> injections, std::uint64_t seed);
 
-    /// \return What was violated; empty where every invariant held.
+    /// \return The violated invariants; empty where all held.
     [[nodiscard]] std::vector<std::string> run();
 
 private:
@@ -96,7 +101,7 @@
     ServiceId m_catalogue = serviceId("alexandria", "catalogue");
     std::shared_ptr<Config> m_config;
     std::map<std::size_t, MemberState> m_states;
-    std::size_t m_focalDaemon = 0; ///< Where the focal request was dispatched from.
+    std::size_t m_focalDaemon = 0; ///< The daemon that dispatched the focal request.
     bool m_rotating = false;
     TargetId m_drained;
     TimePoint m_drainedAt{};
@@ -160,14 +165,14 @@
     }
     time.after(2s, [this] { m_net.addFlow(m_focalFlow, m_lending); });
     for (std::uint64_t i = 0; i < 375; ++i) {
-        // Bursts of twenty, more than there are slots.
+        // Bursts of 20, more than there are slots.
         time.after(1s + 16ms * (i - i % 20), [this, i] {
             Reserve reserve;
             reserve.request = RequestId{i, i + 1};
             reserve.service = i % 4 == 3 ? m_catalogue : m_lending;
             reserve.requestClass = static_cast<RequestClass>(i % RequestClassCount);
             reserve.idempotent = i % 2 == 1;
-            // Some could wait for long at a target that is slow or drains.
+            // With a long deadline, some could wait long at a slow or draining target.
             reserve.timeLeft = i % 10 == 3 ? 8s : Deadline;
             FakeRequest &request = m_net.addRequest(reserve);
             request.payloadBytes = i % 5 == 0 ? 3000 : 20;
@@ -226,7 +231,7 @@
     return id.value() - 100;
 }
 
-/// Recognizes the steps of the focal flow and request by what the daemons send for them.
+/// Recognizes the steps of the focal flow and request by the messages that daemons send for them.
 inline void Cell::observeAction(std::size_t daemon, const TrafficAction &action)
 {
     if (const SendToTarget *toTarget = std::get_if<SendToTarget>(&action)) {
@@ -357,7 +362,7 @@
         return m_net.publish(m_config, 3s);
     case Fault::KeyRotation:
         if (std::exchange(m_rotating, true))
-            return; // Rotations closer than a keep-alive are the operators' mistake.
+            return; // Rotations within one keep-alive period are an operator error.
         m_net.rotateKeys(KeyEpoch{2});
         time.after(3s, [this] { m_net.rotateKeys(KeyEpoch{3}); });
         time.after(6s, [this] { m_net.rotateKeys(KeyEpoch{4}); });
--- a/tests/matrix/checks.h
+++ b/tests/matrix/checks.h
@@ -44,8 +44,8 @@
     });
 }
 
-// A cell whose fault never struck would prove nothing. In a pair the first fault may keep the step
-// of the second from being reached.
+// A cell whose fault was never injected tests nothing. In a pair, the first fault may prevent the
+// step of the second one from being reached.
 inline void Cell::checkInjections()
 {
     for (const FaultInjection &s : m_injections) {
@@ -55,8 +55,8 @@
     }
 }
 
-// The owner counts the deadline from the arrival of the Reserve: entry, two forwards and the owner
-// are four hops away from the caller, the outcome one.
+// The owner's deadline starts when the Reserve arrives there: at most four hops from the caller,
+// through the entry and two forwards. The outcome takes one more hop.
 inline Duration Cell::maxPathDelay() const
 {
     constexpr int Hops = 5;
@@ -89,7 +89,7 @@
     if (request.ending == Ending::Answered && runs == 0)
         addViolation("request ", id, " was answered and never ran");
     if (request.ending == Ending::Answered && request.answer != "done " + request.payload())
-        addViolation("request ", id, " got another answer than its own, or not the whole of it");
+        addViolation("request ", id, " got a wrong or incomplete answer");
     if (request.ending == Ending::Open)
         addViolation("request ", id, " has no outcome");
 
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -9,10 +9,10 @@
 using namespace baobabtrail;
 using namespace baobabtrail::fake;
 
-// Each cell lets one fault strike at one step, while a target drains and a daemon stops, and checks
-// every invariant that the callers rely on. A failing cell prints how to run it alone:
+// Each cell injects one fault at one step, while a target drains and a daemon stops, and checks all
+// invariants that callers rely on. A failing cell prints the command that runs it alone:
 //     BAOBABTRAIL_CELL=fault/step[+fault/step]/seed build/release/test-matrix
-// BAOBABTRAIL_SEEDS=n runs n times as many seeds, to search for rarer orders of events.
+// BAOBABTRAIL_SEEDS=n runs n times as many seeds, to find rarer event orders.
 
 namespace {
 
@@ -28,7 +28,7 @@
     return name + "/" + std::to_string(seed);
 }
 
-/// \return Whether the cell held, or was not selected.
+/// \return Whether all invariants of the cell held, or it was not selected.
 [[nodiscard]] bool passes(const std::vector<FaultInjection> &injections, std::uint64_t seed)
 {
     const std::string name = nameOf(injections, seed);
@@ -38,8 +38,9 @@
     const std::vector<std::string> violations = Cell{injections, seed}.run();
     if (violations.empty())
         return true;
-    cr_log_error("cell %s: %zu violations; again: BAOBABTRAIL_CELL=%s build/release/test-matrix",
-                 name.c_str(), violations.size(), name.c_str());
+    cr_log_error(
+        "cell %s: %zu violations; rerun with BAOBABTRAIL_CELL=%s build/release/test-matrix",
+        name.c_str(), violations.size(), name.c_str());
     constexpr std::size_t MaxPrinted = 4;
     for (std::size_t i = 0; i < std::min(MaxPrinted, violations.size()); ++i)
         cr_log_error("    %s", violations[i].c_str());
@@ -86,7 +87,7 @@
     return cr_make_param_array(int, batches.data(), batches.size());
 }
 
-// Faults come together or twice; the seed draws both and their steps.
+// Two faults in one run, possibly the same one twice; the seed selects both and their steps.
 ParameterizedTest(int *batch, matrix, pairsOfFaults)
 {
     int failed = 0;
@@ -107,8 +108,8 @@
     cr_assert(failed == 0, "%d pairs failed", failed);
 }
 
-// Seeds outside the suite's own range that showed a fault once: a request at a target that had shed
-// ended as unknown at its deadline, where "not run" is expected.
+// Seeds outside the range of the suite, for one failure: a request dispatched to a target that had
+// been shedding ended as unknown at its deadline, where "not run" is expected.
 Test(matrix, regressionSeeds)
 {
     cr_expect(passes({{Fault::TargetShedding, Step::Open}}, 32));
--- a/tests/matrix/unknown_after_shed_test.cpp
+++ b/tests/matrix/unknown_after_shed_test.cpp
@@ -5,10 +5,10 @@
 using namespace baobabtrail;
 using namespace baobabtrail::fake;
 
-// A target sheds for some seconds, then takes work again. A caller's request ended as unknown 2 to
-// 3 ms before its deadline, where "not run" is expected: with seeds 11 and 1667 its new target was
-// taken to need no time; with 2478 the stopping daemon, which still took itself for the owner, sent
-// it behind the work of the new one.
+// A target sheds for some seconds, then accepts work again. Requests ended as unknown 2 to 3 ms
+// before their deadline, where "not run" is expected. Seeds 11 and 1667: the expected run time of
+// the new target was 0. Seed 2478: a stopping daemon, which still believed that it owned the
+// target, dispatched the request behind the work of the new owner.
 Test(matrix, nothingEndsAsUnknownAfterShedding)
 {
     const FaultInjection answer{Fault::TargetShedding, Step::Answer};
