--- a/tests/requests/owner_test.cpp
+++ b/tests/requests/owner_test.cpp
@@ -131,27 +131,27 @@
 // the first one may have run it.
 Test(requestOwner, neverRepeatsWhatMayHaveRun)
 {
-    NodeRig swap{2};
-    const auto dispatch = swap.start(swap.ask(1));
-    swap.handle(LinkClosed{dispatch->first, Generation{5}});
-    cr_assert(swap.onLinks<Dispatch>().empty());
-    cr_assert_eq(swap.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
+    NodeRig nonIdempotent{2};
+    const auto dispatch = nonIdempotent.start(nonIdempotent.ask(1));
+    nonIdempotent.handle(LinkClosed{dispatch->first, Generation{5}});
+    cr_assert(nonIdempotent.onLinks<Dispatch>().empty());
+    cr_assert_eq(nonIdempotent.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
 
-    NodeRig upload{2};
-    Reserve ask = upload.ask(1);
-    ask.idempotent = true;
-    const auto first = upload.start(ask);
-    upload.handle(LinkClosed{first->first, Generation{5}});
-    const auto retried = upload.onLinks<Dispatch>();
+    NodeRig idempotent{2};
+    Reserve reserve = idempotent.ask(1);
+    reserve.idempotent = true;
+    const auto first = idempotent.start(reserve);
+    idempotent.handle(LinkClosed{first->first, Generation{5}});
+    const auto retried = idempotent.onLinks<Dispatch>();
     cr_assert_eq(retried.size(), 1);
     cr_assert(retried.front().first != first->first);
     cr_assert(retried.front().second.attempt != first->second.attempt);
-    upload.done({first->first, first->second});
-    cr_assert(upload.toCaller<Answer>().empty());
-    upload.shed(retried.front());
-    upload.shed(upload.onLinks<Dispatch>().at(0));
-    cr_assert(upload.toCaller<NotRun>().empty());
-    cr_assert_eq(upload.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
+    idempotent.done({first->first, first->second});
+    cr_assert(idempotent.toCaller<Answer>().empty());
+    idempotent.shed(retried.front());
+    idempotent.shed(idempotent.onLinks<Dispatch>().at(0));
+    cr_assert(idempotent.toCaller<NotRun>().empty());
+    cr_assert_eq(idempotent.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
 }
 
 // Both targets shed every request. A shed request may be retried at the other one, but all retries
@@ -284,13 +284,13 @@
     NodeRig fixture;
     std::vector<NotRun> refusals;
     for (std::uint64_t id = 1; id <= 5; ++id) {
-        Reserve upload = fixture.ask(id);
-        upload.requestClass = RequestClass::Bulk;
-        fixture.start(upload);
+        Reserve bulk = fixture.ask(id);
+        bulk.requestClass = RequestClass::Bulk;
+        fixture.start(bulk);
     }
-    Reserve check = fixture.ask(9);
-    check.requestClass = RequestClass::Urgent;
-    cr_assert(fixture.reserve(check).has_value());
+    Reserve urgent = fixture.ask(9);
+    urgent.requestClass = RequestClass::Urgent;
+    cr_assert(fixture.reserve(urgent).has_value());
     cr_assert_eq(fixture.toCaller<NotRun>().at(0).request.low, 5);
     cr_assert(fixture.toCaller<NotRun>().at(0).retryAfter > 0s);
     cr_assert_eq(fixture.node.counts().runningAttempts, 1);
