--- a/tests/control/accept_test.cpp
+++ b/tests/control/accept_test.cpp
@@ -17,7 +17,7 @@
 
 /// \brief Asks for the change once more at another daemon, as an operator does who got no answer,
 /// and checks that it is in force everywhere, once.
-void askAgainAndExpectInForce(Cluster &net, const std::string &id, const std::string &cell)
+void retryAndExpectInForce(Cluster &net, const std::string &id, const std::string &cell)
 {
     const ProposalId again = net.propose(7, weightChange(id, 50));
     cr_expect(net.runUntil([&] { return net.outcome(again) != nullptr; }, 10s), "%s: no outcome",
@@ -96,7 +96,7 @@
                 if (fault == PlatformFault::ReplyLost && count == 1)
                     cr_expect(accepted && !accepted->repeated, "%s", cell.c_str());
                 net.fault = nullptr;
-                askAgainAndExpectInForce(net, "w", cell);
+                retryAndExpectInForce(net, "w", cell);
             }
         }
     }
@@ -106,17 +106,17 @@
 // just after one of its calls leaves. The operator asks another daemon with the same change id.
 Test(accept, proposerKilledRestartedOrFrozenAtEveryStep)
 {
-    enum class Blow { Kill, Restart, Freeze };
-    for (const Blow blow : {Blow::Kill, Blow::Restart, Blow::Freeze}) {
+    enum class NodeFault { Kill, Restart, Freeze };
+    for (const NodeFault nodeFault : {NodeFault::Kill, NodeFault::Restart, NodeFault::Freeze}) {
         for (const auto &[kind, stepName] : AcceptSteps) {
             for (const bool callLeaves : {false, true}) {
-                const std::string cell = std::to_string(static_cast<int>(blow)) + " at " + stepName
-                                         + (callLeaves ? " after" : " before");
+                const std::string cell = std::to_string(static_cast<int>(nodeFault)) + " at "
+                                         + stepName + (callLeaves ? " after" : " before");
                 Cluster net;
-                bool struck = false;
-                const auto strike = [&] {
-                    struck = true;
-                    if (blow == Blow::Freeze)
+                bool injected = false;
+                const auto inject = [&] {
+                    injected = true;
+                    if (nodeFault == NodeFault::Freeze)
                         net.freeze(Proposer);
                     else
                         net.kill(Proposer);
@@ -125,29 +125,29 @@
                     const bool create = node == Proposer && kindOf(request) == CallKind::Create;
                     if (hit == CallKind::Read && create)
                         return PlatformFault::ReplyLost;
-                    if (node == Proposer && kindOf(request) == hit && callLeaves && !struck)
-                        strike();
+                    if (node == Proposer && kindOf(request) == hit && callLeaves && !injected)
+                        inject();
                     return PlatformFault::None;
                 };
                 net.observe = [&, hit = kind](std::size_t node, const ControlAction &action) {
                     const auto *call = std::get_if<PlatformCall>(&action);
                     if (call && node == Proposer && kindOf(call->request) == hit && !callLeaves
-                        && !struck)
-                        strike();
+                        && !injected)
+                        inject();
                 };
                 net.propose(Proposer, weightChange("w", 50));
                 net.run(12s);
-                cr_expect(struck, "%s: did not happen", cell.c_str());
+                cr_expect(injected, "%s: did not happen", cell.c_str());
                 net.fault = nullptr;
                 net.observe = nullptr;
                 const ProposalId again = net.propose(7, weightChange("w", 50));
                 net.run(3s);
                 cr_expect(net.get<ProposalAccepted>(again) != nullptr, "%s", cell.c_str());
-                if (blow == Blow::Freeze)
+                if (nodeFault == NodeFault::Freeze)
                     net.thaw(Proposer);
-                if (blow == Blow::Restart)
+                if (nodeFault == NodeFault::Restart)
                     net.start(Proposer);
-                askAgainAndExpectInForce(net, "w", cell);
+                retryAndExpectInForce(net, "w", cell);
             }
         }
     }
--- a/tests/control/distribute_test.cpp
+++ b/tests/control/distribute_test.cpp
@@ -81,8 +81,8 @@
 // fetches it, or applies it. The rest must have the change in time, and it once it is back.
 Test(distribute, daemonKilledRestartedOrFrozenAtEveryStep)
 {
-    enum class Blow { Kill, Restart, Freeze };
-    enum class Step { Watch, Fetch, Publish, Tell };
+    enum class NodeFault { Kill, Restart, Freeze };
+    enum class Step { Watch, Fetch, Publish, Notify };
     const auto isAt = [](Step step, const ControlAction &action) {
         const auto *call = std::get_if<PlatformCall>(&action);
         const auto *fetch = std::get_if<FetchFromPeer>(&action);
@@ -94,26 +94,26 @@
             return fetch && std::holds_alternative<FetchRecords>(fetch->message);
         case Step::Publish:
             return std::holds_alternative<PublishConfig>(action);
-        case Step::Tell:
+        case Step::Notify:
             return sent && std::holds_alternative<RevisionNotice>(sent->message);
         }
         return false;
     };
-    for (const Blow blow : {Blow::Kill, Blow::Restart, Blow::Freeze}) {
-        for (const Step step : {Step::Watch, Step::Fetch, Step::Publish, Step::Tell}) {
+    for (const NodeFault nodeFault : {NodeFault::Kill, NodeFault::Restart, NodeFault::Freeze}) {
+        for (const Step step : {Step::Watch, Step::Fetch, Step::Publish, Step::Notify}) {
             for (const std::size_t victims : {1, 3}) {
-                const std::string cell = std::to_string(static_cast<int>(blow)) + '/'
+                const std::string cell = std::to_string(static_cast<int>(nodeFault)) + '/'
                                          + std::to_string(static_cast<int>(step)) + '/'
                                          + std::to_string(victims);
                 Cluster net{3, 4};
-                std::set<std::size_t> struck;
+                std::set<std::size_t> injected;
                 net.observe = [&](std::size_t node, const ControlAction &action) {
                     const bool last
-                        = struck.size() >= victims || struck.contains(node) || node == 1;
+                        = injected.size() >= victims || injected.contains(node) || node == 1;
                     if (last || !isAt(step, action))
                         return;
-                    struck.insert(node);
-                    if (blow == Blow::Freeze)
+                    injected.insert(node);
+                    if (nodeFault == NodeFault::Freeze)
                         net.freeze(node);
                     else
                         net.kill(node);
@@ -121,10 +121,10 @@
                 const Revision revision = net.accept(1, weightChange("w", 50));
                 net.run(12s);
                 cr_expect(net.everywhere(revision) && !revision.isNull(), "%s", cell.c_str());
-                for (const std::size_t node : struck) {
-                    if (blow == Blow::Freeze)
+                for (const std::size_t node : injected) {
+                    if (nodeFault == NodeFault::Freeze)
                         net.thaw(node);
-                    if (blow == Blow::Restart)
+                    if (nodeFault == NodeFault::Restart)
                         net.start(node);
                 }
                 net.run(10s);
@@ -191,7 +191,7 @@
         {DaemonId{1}, Incarnation{1}, "alx-raml", {0x0a000001, 7000}, {0x0a000001, 7001}}, {}, 1};
     const MemberUpdate peer{DaemonId{9}, Incarnation{1}, 0,          MemberState::Alive,
                             address,     records,        "alx-raml", Revision{5}};
-    const auto questionsIn = [](const ControlActions &actions) {
+    const auto fetchesIn = [](const ControlActions &actions) {
         return std::count_if(actions.begin(), actions.end(), [](const ControlAction &action) {
             return std::holds_alternative<FetchFromPeer>(action);
         });
@@ -200,10 +200,10 @@
     node.start(TimePoint{1s}, actions);
     node.handle(ControlFromPeer{address, {DaemonId{9}, Incarnation{1}, Ping{1, {peer}, {}}}},
                 TimePoint{1s}, {}, actions);
-    cr_assert(questionsIn(actions) == 1); // For the members; the one for records waits.
+    cr_assert(fetchesIn(actions) == 1); // For the members; the one for records waits.
     actions.clear();
     node.handle(FetchResult{records, std::nullopt}, TimePoint{1s}, {}, actions);
-    cr_assert(questionsIn(actions) == 1);
+    cr_assert(fetchesIn(actions) == 1);
 }
 
 // A failure domain loses the platform but not the other domains. Changes go on being accepted
--- a/tests/control/quarantine_test.cpp
+++ b/tests/control/quarantine_test.cpp
@@ -11,7 +11,7 @@
 
 /// \brief Lending's target is taken out of service in the given way while one daemon hears nothing.
 /// \return The record that gives its address to catalogue.
-[[nodiscard]] ChangeRecord takeOut(Cluster &net, bool move)
+[[nodiscard]] ChangeRecord takeOutOfService(Cluster &net, bool move)
 {
     if (move) {
         cr_assert(!net.accept(0, change("cut", {CutTarget{T1}})).isNull());
@@ -39,10 +39,10 @@
                     net.freeze(CutOff);
                 else
                     net.cutNode(CutOff);
-                const ChangeRecord take = takeOut(net, move);
+                const ChangeRecord claim = takeOutOfService(net, move);
                 net.run(60s); // Long enough that its peers consider it dead.
                 for (const std::size_t proposer : {0, 4, 7}) {
-                    const ProposalId id = net.propose(proposer, take);
+                    const ProposalId id = net.propose(proposer, claim);
                     net.run(12s);
                     const auto *refused = net.get<ProposalRefused>(id);
                     cr_assert(refused != nullptr && refused->findings.size() == 1);
@@ -60,7 +60,7 @@
                     net.thaw(CutOff);
                     net.run(15s);
                 }
-                const Revision revision = net.accept(4, take);
+                const Revision revision = net.accept(4, claim);
                 cr_assert(!revision.isNull(), "frozen %d, move %d, end %d", frozen, move,
                           static_cast<int>(end));
                 net.run(12s);
@@ -76,15 +76,15 @@
 {
     for (const std::size_t proposer : {0, 4, 8}) {
         Cluster net;
-        const ChangeRecord take = takeOut(net, false);
+        const ChangeRecord claim = takeOutOfService(net, false);
         net.run(10s);
-        const ProposalId id = net.propose(proposer, take);
+        const ProposalId id = net.propose(proposer, claim);
         net.run(1s);
         cr_assert(net.get<ProposalAccepted>(id) != nullptr);
 
         Cluster other;
         other.cutNode(CutOff);
-        (void)takeOut(other, false);
+        (void)takeOutOfService(other, false);
         const ProposalId back
             = other.propose(proposer % 8, change("b", {addTarget("lending", "t1", 1)}));
         other.run(1s);
@@ -96,12 +96,12 @@
 Test(quarantine, addressStaysWhereNobodyKnowsWhoIsLive)
 {
     Cluster net;
-    const ChangeRecord take = takeOut(net, false);
+    const ChangeRecord claim = takeOutOfService(net, false);
     net.run(10s);
     net.fault = [](std::size_t, const PlatformRequest &request) {
         return kindOf(request) == CallKind::ListVms ? PlatformFault::Down : PlatformFault::None;
     };
-    const ProposalId id = net.propose(0, take);
+    const ProposalId id = net.propose(0, claim);
     net.run(12s);
     const auto *refused = net.get<ProposalRefused>(id);
     cr_assert(refused && refused->findings[0].find("can't be read") != std::string::npos);
--- a/tests/control/snapshot_test.cpp
+++ b/tests/control/snapshot_test.cpp
@@ -103,22 +103,22 @@
 Test(snapshot, writerKilledHalfWayLeavesNothingUsable)
 {
     Cluster net{2, 3, smallSnapshots()};
-    bool struck = false;
+    bool injected = false;
     std::vector<StoredObject> left;
     net.observe = [&](std::size_t node, const ControlAction &action) {
         const auto *call = std::get_if<PlatformCall>(&action);
         const auto *create = call ? std::get_if<CreateObject>(&call->request) : nullptr;
-        if (struck || !create || !create->key.ends_with("manifest"))
+        if (injected || !create || !create->key.ends_with("manifest"))
             return;
-        struck = true;
+        injected = true;
         left = snapshotObjectsOf(net);
         net.kill(node);
     };
-    for (int i = 0; i < 12 && !struck; ++i) {
+    for (int i = 0; i < 12 && !injected; ++i) {
         cr_assert(!net.accept(4, weightChange("w" + std::to_string(i), 50)).isNull());
         net.run(15s);
     }
-    cr_assert(struck);
+    cr_assert(injected);
     cr_assert(!left.empty() && completeSnapshots(left).empty());
     const std::size_t proposer = net.alive(4) ? 4 : 5;
     for (int i = 0; i < 12; ++i) {
