--- a/tests/control/random_test.cpp
+++ b/tests/control/random_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// \brief One fault that begins and ends at times of its own; two of them overlap in any way.
-struct Blow
+struct TimedFault
 {
     std::string name;
     std::function<void()> begin;
@@ -35,17 +35,17 @@
 
     void run()
     {
-        const Blow first = blow();
-        const Blow second = blow();
+        const TimedFault first = randomFault();
+        const TimedFault second = randomFault();
         const std::string name
             = "seed " + std::to_string(m_seed) + ": " + first.name + " with " + second.name;
         schedule(first);
         schedule(second);
         for (int change = 0; change < 12; ++change) {
-            strikeUntil(m_net.now() + Duration{std::chrono::seconds{pick(5)}});
-            ask(change);
+            runFaultsUntil(m_net.now() + Duration{std::chrono::seconds{pick(5)}});
+            proposeChange(change);
         }
-        strikeUntil(TimePoint::max());
+        runFaultsUntil(TimePoint::max());
         m_faults.clear();
         m_net.healAll();
         for (std::size_t node = 0; node < m_net.size(); ++node) {
@@ -80,7 +80,7 @@
         return weightChange("w" + std::to_string(change), static_cast<std::uint32_t>(change));
     }
 
-    void ask(int change)
+    void proposeChange(int change)
     {
         const std::size_t operators = 1 + pick(2);
         std::optional<Revision> expected;
@@ -95,18 +95,18 @@
         }
     }
 
-    void schedule(const Blow &blow)
+    void schedule(const TimedFault &fault)
     {
         const TimePoint begin = m_net.now() + Duration{std::chrono::milliseconds{pick(15'000)}};
         const TimePoint end = begin + Duration{std::chrono::milliseconds{500 + pick(20'000)}};
-        m_times.emplace(begin, blow.begin);
-        m_times.emplace(end, blow.end);
+        m_schedule.emplace(begin, fault.begin);
+        m_schedule.emplace(end, fault.end);
     }
 
-    void strikeUntil(TimePoint limit)
+    void runFaultsUntil(TimePoint limit)
     {
-        while (!m_times.empty() && m_times.begin()->first <= limit) {
-            const auto next = m_times.extract(m_times.begin());
+        while (!m_schedule.empty() && m_schedule.begin()->first <= limit) {
+            const auto next = m_schedule.extract(m_schedule.begin());
             if (next.key() > m_net.now())
                 m_net.run(next.key() - m_net.now());
             next.mapped()();
@@ -115,7 +115,7 @@
             m_net.run(limit - m_net.now());
     }
 
-    [[nodiscard]] Blow blow()
+    [[nodiscard]] TimedFault randomFault()
     {
         const std::size_t node = pick(9);
         const std::string domain = Cluster::Domains[pick(3)];
@@ -152,7 +152,7 @@
     Random m_random;
     Cluster m_net;
     std::uint64_t m_seed;
-    std::multimap<TimePoint, std::function<void()>> m_times;
+    std::multimap<TimePoint, std::function<void()>> m_schedule;
     std::vector<std::pair<CallKind, PlatformFault>> m_faults;
     std::set<int> m_expected; ///< Changes asked for with an expected revision; may be refused.
 };
