--- a/tests/control/accept_test.cpp
+++ b/tests/control/accept_test.cpp
@@ -155,7 +155,7 @@
 
 // Two operators, and then nine, ask for changes at different daemons in the same instant, all with
 // the revision that they saw. One of them gets it; the others are told whose change came first.
-Test(accept, racingOperatorsHaveOneWinnerThatLosersAreTold)
+Test(accept, racingOperatorsHaveOneWinnerNamedToTheOthers)
 {
     for (const std::size_t operators : {2, 9}) {
         Cluster net{operators};
@@ -182,7 +182,7 @@
     }
 }
 
-Test(accept, racingOperatorsWithoutExpectationAllGetTheirs)
+Test(accept, concurrentChangesWithoutExpectedRevisionAllSucceed)
 {
     Cluster net;
     std::vector<ProposalId> ids;
@@ -200,7 +200,7 @@
 
 // Two daemons are asked for one change with one id, as by an operator whose tool tries again
 // elsewhere while the first try is still under way.
-Test(accept, oneChangeAskedTwiceAtOnceIsInTheLogOnce)
+Test(accept, sameChangeProposedTwiceConcurrentlyIsLoggedOnce)
 {
     Cluster net;
     const ProposalId first = net.propose(1, weightChange("w", 50));
--- a/tests/control/distribute_test.cpp
+++ b/tests/control/distribute_test.cpp
@@ -7,7 +7,7 @@
 
 // A change is accepted while one step of its way to the daemons fails for all of them and for as
 // long as it takes: watches, lists, notices between daemons, fetches. The other steps must make up.
-Test(distribute, everyFaultAtEveryStepIsMadeUpFor)
+Test(distribute, everyFaultAtEveryStepIsTolerated)
 {
     using enum PlatformFault;
     struct Cell
@@ -140,7 +140,7 @@
 
 // The daemon that accepted a change tells others of it and then answers no fetch, which takes two
 // seconds to find out. They must not wait for that, since others have the change, too.
-Test(distribute, slowFetchIsRepeatedElsewhere)
+Test(distribute, slowFetchIsHedged)
 {
     Cluster net{7, 8};
     net.dropFetch = [](std::size_t, std::size_t server) { return server == 1; };
@@ -153,7 +153,7 @@
 
 // A peer says that it is ahead and has nothing usable to give. Asking it over and over would keep
 // both busy for nothing.
-Test(distribute, peerWithNothingToGiveIsNotAskedInALoop)
+Test(distribute, peerWithoutUsableRecordsIsNotQueriedInALoop)
 {
     const Endpoint address{0x0a000009, 7000};
     const Endpoint records{0x0a000009, 7001};
@@ -183,7 +183,7 @@
 
 // A daemon has two questions to one peer. An answer names the peer only, so that with both under
 // way one could be taken for the other.
-Test(distribute, onePeerIsAskedOneQuestionAtATime)
+Test(distribute, onePeerIsSentOneQueryAtATime)
 {
     const Endpoint address{0x0a000009, 7000};
     const Endpoint records{0x0a000009, 7001};
@@ -208,7 +208,7 @@
 
 // A failure domain loses the platform but not the other domains. Changes go on being accepted
 // elsewhere; its daemons learn of them from the others, within ten seconds.
-Test(distribute, domainCutFromThePlatformHearsOfChangesFromPeers)
+Test(distribute, domainCutFromThePlatformLearnsOfChangesFromPeers)
 {
     for (const std::size_t domain : {0, 1, 2}) {
         for (const bool noticesLost : {false, true}) {
@@ -233,7 +233,7 @@
 // A failure domain is cut off from everything for ten minutes. It serves on what it has, says how
 // old that is, and refuses nothing it can't know: its operators are told "unknown". After the cut
 // it has every change within ten seconds.
-Test(distribute, domainCutFromAllServesOnAndCatchesUp)
+Test(distribute, isolatedDomainKeepsServingAndCatchesUp)
 {
     Cluster net;
     net.cutPlatform("alx-raml");
--- a/tests/control/quarantine_test.cpp
+++ b/tests/control/quarantine_test.cpp
@@ -28,7 +28,7 @@
 // still or has lost its peers all the while: it still sends lending's packets to the address.
 // The claim must be refused, naming that daemon, until the daemon is back and has passed the
 // revision; or its VM is gone from the list; or ten minutes are over.
-Test(quarantine, addressWaitsForADaemonThatWasCutOffAllTheWhile)
+Test(quarantine, addressStaysQuarantinedWhileADaemonIsCutOff)
 {
     enum class End { Returns, Unlisted, TimeOver };
     for (const bool frozen : {false, true}) {
@@ -93,7 +93,7 @@
 }
 
 // The VM list can't be read: nobody can say which daemons are live, and the claim is refused.
-Test(quarantine, addressStaysWhereNobodyKnowsWhoIsLive)
+Test(quarantine, addressStaysQuarantinedWhileTheVmListIsUnreadable)
 {
     Cluster net;
     const ChangeRecord claim = takeOutOfService(net, false);
--- a/tests/control/snapshot_test.cpp
+++ b/tests/control/snapshot_test.cpp
@@ -49,7 +49,7 @@
 
 // The log is cut behind the second newest snapshot. A daemon that starts then, and one that stood
 // still all the while, must get to the newest revision, and still know the ids of old changes.
-Test(snapshot, logIsCompactedAndStillLeadsEveryoneToTheNewestRevision)
+Test(snapshot, everyDaemonReachesTheNewestRevisionAfterCompaction)
 {
     Cluster net{2, 3, smallSnapshots()};
     net.freeze(7);
--- a/tests/control/watcher_test.cpp
+++ b/tests/control/watcher_test.cpp
@@ -34,7 +34,7 @@
 
 // The watchers of a domain lose the platform, each for itself, and the domain loses the others. The
 // rest of its daemons still reach the platform and have to ask it themselves.
-Test(watcher, daemonsAskThemselvesWhereTheirWatchersCannot)
+Test(watcher, daemonsReadTheLogWhereTheirWatchersCannot)
 {
     Cluster net{3, 8};
     std::set<std::size_t> watchers;
@@ -85,7 +85,7 @@
 
 // The platform refuses the first calls of a daemon that starts alone. It must not wait for its next
 // regular list.
-Test(watcher, readingAtTheStartIsTriedAgain)
+Test(watcher, readAtStartIsRetried)
 {
     Cluster net{5};
     net.accept(1, weightChange("w", 50));
@@ -102,7 +102,7 @@
 
 // The platform refuses every call and asks to come back after 40 s. Calling on in the usual rhythm
 // would keep it overloaded.
-Test(watcher, timeToComeBackIsObeyed)
+Test(watcher, retryAfterIsHonoured)
 {
     Cluster net{5};
     net.run(21s);
@@ -118,7 +118,7 @@
 
 // An object of the log is damaged, or written by a newer version with a command that this one
 // lacks. Daemons stop before it, say so, and serve on; once it is repaired they go on.
-Test(watcher, badRecordStopsDaemonsBeforeItLoudly)
+Test(watcher, daemonsStopBeforeABadRecordAndReportIt)
 {
     for (const bool unknownKind : {false, true}) {
         Cluster net;
@@ -182,7 +182,7 @@
 // All VMs of a system start in the same moment, without seeds, and the platform's list of VMs lags
 // by half a second: the first look shows each daemon an empty list. Whoever waits for a change then
 // must not be told that it is in force by a daemon that knows only itself.
-Test(watcher, daemonsThatStartTogetherMeetWithinSeconds)
+Test(watcher, daemonsThatStartTogetherFindEachOtherWithinSeconds)
 {
     FakeControlNet net{1, {}};
     for (const char *domain : Cluster::Domains) {
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -50,7 +50,7 @@
 
 } // namespace
 
-Test(membership, everyoneKnowsEveryoneSoon)
+Test(membership, daemonsDiscoverEachOther)
 {
     for (const std::size_t size : {1, 2, 9, 40}) {
         Domain net{size};
@@ -80,7 +80,7 @@
 
 // A fifth of all datagrams is lost for five minutes. Indirect pings and refutation must keep
 // everybody in the view.
-Test(membership, lossAloneKillsNobody)
+Test(membership, lossAloneRemovesNobody)
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         Domain net{20, seed};
@@ -91,7 +91,7 @@
 }
 
 // One path is cut in both directions, so two daemons never hear each other directly. Others do.
-Test(membership, cutBetweenTwoDaemonsKillsNeither)
+Test(membership, cutBetweenTwoDaemonsRemovesNeither)
 {
     Domain net{9};
     net.drop = [](std::size_t from, std::size_t to, const PeerMessage &) {
@@ -104,7 +104,7 @@
 // A VM is moved: its network stops, and three seconds later its daemon, for a minute. By then it
 // suspects some of the others. It must not take them for dead when it goes on, since it could not
 // have read an answer, and must be back in their views at once.
-Test(membership, pausedDaemonSuspectsNobodyAndComesBack)
+Test(membership, stalledDaemonSuspectsNobodyAndRejoins)
 {
     Domain net{20};
     net.cutNode(4);
@@ -126,7 +126,7 @@
 // A daemon loses its network for five minutes; the others hold it dead, and it them. When the
 // network is back, both sides have to find each other, also where the platform is down, and where
 // the seed is gone as well.
-Test(membership, cutOffDaemonIsFoundAgain)
+Test(membership, cutOffDaemonRejoins)
 {
     for (const int gone : {0, 1, 2}) {
         Domain net{9};
@@ -216,7 +216,7 @@
     cr_assert(net.deathsNoticed() == 0);
 }
 
-Test(membership, remoteDaemonsComeFromTheVmListAndFromNews)
+Test(membership, remoteDaemonsComeFromTheVmListAndFromRumors)
 {
     FakeControlNet net{3};
     for (const char *domain : {"alx-raml", "alx-smouha"}) {
@@ -244,7 +244,7 @@
     }
 }
 
-Test(membership, fewWatchersWhateverTheSize)
+Test(membership, watcherCountIsIndependentOfDomainSize)
 {
     Domain net{40};
     std::size_t watchers = 0;
