--- a/src/core/control/actions.h
+++ b/src/core/control/actions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What a ControlNode wants done.
+/// \brief Actions that a ControlNode returns for its host to carry out.
 
 #include "core/config/config.h"
 #include "core/control/events.h"
@@ -19,19 +19,20 @@
     Endpoint peer;
     PeerMessage message;
 };
-/// \brief Ask a peer over HTTP; a FetchResult follows always, within a few seconds.
+/// \brief Send a query to a peer over HTTP. The host always reports a FetchResult, within a few
+/// seconds.
 struct FetchFromPeer
 {
     Endpoint records;
     RecordsMessage message;
 };
-/// \brief Call the platform; a PlatformReply with the same id follows always.
+/// \brief Call the platform. The host always reports a PlatformReply with the same id.
 struct PlatformCall
 {
     CallId call;
     PlatformRequest request;
 };
-/// \brief This configuration is in force from now on; each has a higher revision than the last.
+/// \brief Put this configuration in force. Revisions only increase from one action to the next.
 struct PublishConfig
 {
     ConfigPtr config;
@@ -41,25 +42,25 @@
     ViewPtr view;
 };
 
-/// \brief The change is in the log; every daemon will apply it.
+/// \brief The change is in the log, and every daemon will apply it.
 struct ProposalAccepted
 {
     Revision revision;
-    bool repeated = false; ///< The change id was in the log already.
+    bool repeated = false; ///< The log already held this change id.
 };
-/// \brief The change is not in the log and won't get there.
+/// \brief The change is not in the log and will not be added to it.
 struct ProposalRefused
 {
-    std::vector<std::string> findings; ///< Every reason, each with its place.
-    std::string winner; ///< Change that took the expected revision; empty where none did.
+    std::vector<std::string> findings; ///< Every reason, each with its location.
+    std::string winner; ///< Change that was logged under the expected revision; empty if none.
     Revision latest;
 };
-/// \brief The change may be in the log: asking again with the same change id tells.
+/// \brief The change may or may not be in the log; a retry with the same change id tells which.
 struct ProposalUnknown
 {
     std::string what;
 };
-/// \brief What a dry run would have changed, one line each.
+/// \brief The effects that the change would have, one line each; the result of a dry run.
 struct ProposalPreview
 {
     std::vector<std::string> effects;
--- a/src/core/control/backoff.h
+++ b/src/core/control/backoff.h
@@ -5,8 +5,8 @@
 
 namespace baobabtrail {
 
-/// \brief Growing waits with jitter between tries, so that daemons that failed together don't try
-/// again together.
+/// \brief Exponential backoff with jitter, so that daemons that failed at the same time don't retry
+/// at the same time.
 class Backoff
 {
 public:
@@ -18,8 +18,8 @@
     {
     }
 
-    /// \param atLeast What the other side asked for.
-    /// \return The wait before the next try.
+    /// \param atLeast Minimum wait that the server asked for.
+    /// \return The wait before the next attempt.
     [[nodiscard]] Duration next(Random &random, Duration atLeast);
     void reset() noexcept { m_next = m_first; }
 
@@ -29,7 +29,7 @@
     Duration m_next = 200ms;
 };
 
-/// \return Between three quarters of \a period and all of it.
+/// \return A random duration between three quarters of \a period and the whole of it.
 [[nodiscard]] Duration withJitter(Random &random, Duration period);
 
 } // namespace baobabtrail
--- a/src/core/control/context.cpp
+++ b/src/core/control/context.cpp
@@ -47,7 +47,8 @@
 {
     std::deque<PendingFetch> &queue = m_fetchQueues[records];
     queue.push_back({std::move(message), std::move(handler)});
-    // A result names its peer only: with two questions out, answers could be mixed up.
+    // A result carries only the peer's address: with two queries in flight their answers could be
+    // mixed up.
     if (queue.size() == 1)
         emit(FetchFromPeer{records, queue.front().message});
 }
--- a/src/core/control/context.h
+++ b/src/core/control/context.h
@@ -14,11 +14,11 @@
 
 namespace baobabtrail {
 
-/// \brief What the parts of a ControlNode share: its time, its random numbers, its timers, and the
-/// calls that wait for a reply.
+/// \brief State shared by the components of a ControlNode: current time, random numbers, timers and
+/// the calls that wait for a reply.
 ///
-/// Parts hand in a function and get it called when the time or the reply comes. Nothing here does
-/// input or output: calls leave as actions and replies come in as events.
+/// Components register callbacks for timers and replies. Nothing here does I/O: calls are emitted
+/// as actions, and replies arrive as events.
 class ControlContext
 {
 public:
@@ -33,7 +33,7 @@
     [[nodiscard]] Random &random() noexcept { return m_random; }
     [[nodiscard]] TimePoint now() const noexcept { return m_now; }
     [[nodiscard]] std::chrono::sys_seconds unixNow() const noexcept { return m_unixNow; }
-    /// \return A number from 0 to \a count - 1.
+    /// \return A random number from 0 to \a count - 1.
     [[nodiscard]] std::size_t pick(std::size_t count);
 
     void emit(ControlAction action);
@@ -41,15 +41,16 @@
     void notice(Severity severity, Part part, std::string text, std::string change = {});
 
     void after(Duration wait, Callback callback);
-    /// \brief Calls the platform; \a handler gets the result.
+    /// \brief Calls the platform and passes the result to \a handler.
     void call(PlatformRequest request, PlatformHandler handler);
-    /// \brief Asks a peer over HTTP, one question at a time for each peer.
+    /// \brief Queries a peer over HTTP; further queries to the same peer are queued until it
+    /// answers.
     void fetch(const Endpoint &records, RecordsMessage message, FetchHandler handler);
 
-    /// \brief Begins an event; actions go to \a out until leave().
+    /// \brief Starts the handling of an event; actions are appended to \a out until endEvent().
     void beginEvent(TimePoint now, std::chrono::sys_seconds unixNow, ControlActions &out);
     void endEvent() noexcept { m_out = nullptr; }
-    /// \return How late the earliest timer is; large after the process was paused.
+    /// \return By how much the earliest timer is overdue; large after the process stalled.
     [[nodiscard]] Duration timerLateness() const;
     void runDueTimers();
     [[nodiscard]] std::optional<TimePoint> nextTimer() const;
@@ -73,7 +74,7 @@
     std::uint64_t m_lastCall = 0;
     std::unordered_map<CallId, PlatformHandler> m_calls;
     std::unordered_map<Endpoint, std::deque<PendingFetch>>
-        m_fetchQueues; ///< The first one is asked.
+        m_fetchQueues; ///< The front entry is in flight.
 };
 
 } // namespace baobabtrail
--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -17,10 +17,9 @@
 
 namespace {
 
-constexpr Duration StallThreshold = 2s; ///< A timer that is this late means that the process stood.
+constexpr Duration StallThreshold = 2s; ///< A timer this overdue means that the process stalled.
 constexpr Duration ConfigAgeCheckPeriod = 10s;
-constexpr Duration ConfigAgeWarning
-    = 60s; ///< Age of the configuration from which on the log says so.
+constexpr Duration ConfigAgeWarning = 60s; ///< Configuration age from which on a warning is logged.
 constexpr Duration ConfigAgeWarningPeriod = 300s;
 
 } // namespace
@@ -70,7 +69,8 @@
     Proposer m_proposer;
     ConfigPtr m_published;
     TimePoint m_startedAt{};
-    std::optional<TimePoint> m_peerConfirmedAt; ///< For the revision in force now, from peers.
+    std::optional<TimePoint>
+        m_peerConfirmedAt; ///< When a peer last confirmed the revision in force.
     std::optional<TimePoint> m_ageReportedAt;
 };
 
@@ -110,7 +110,7 @@
                                ControlActions &out)
 {
     m_context.beginEvent(now, unixNow, out);
-    // After a pause every other daemon looks silent, since nobody read its answers.
+    // After a stall every other daemon looks silent, since their answers were not read meanwhile.
     if (m_context.timerLateness() > StallThreshold)
         m_swim.onStall();
     std::visit([this](auto &typed) { on(typed); }, event);
@@ -149,8 +149,9 @@
         m_context.emit(PublishView{view()});
 }
 
-// Random peers spread the news in the domain, its watchers learn who has it, and one daemon of
-// every other domain carries it over a cut between that domain and the platform.
+// Notifies random peers, which spread the revision in the domain; the domain's watchers, which
+// track who has applied it; and one daemon of every other domain, which brings it to a domain that
+// is cut off from the platform.
 void ControlNode::Impl::notifyPeers()
 {
     const Revision revision = m_published->revision;
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -12,25 +12,25 @@
 
 namespace baobabtrail {
 
-/// \brief Bounds and times of the control side.
+/// \brief Limits and timeouts of a ControlNode.
 struct ControlSettings
 {
     Duration pingPeriod = 1s;
     Duration pingTimeout = 300ms;
-    Duration suspicion = 4s; ///< From the first missed ping to the removal from the view.
+    Duration suspicion = 4s; ///< Time from the first missed ping to the removal from the view.
     Duration antiEntropyPeriod = 5s;
     Duration vmListPeriod = 10s;
-    Duration watchWait = 20s; ///< Longest wait of one watch at the platform.
+    Duration watchWait = 20s; ///< Timeout of one watch at the platform.
     std::size_t watchersPerDomain = 2;
-    std::size_t noticeFanOut = 4; ///< Peers that hear of a new revision at once.
+    std::size_t noticeFanOut = 4; ///< Random peers that are notified of a new revision at once.
     Duration addressQuarantine = 10min;
-    std::size_t snapshotEvery = 256; ///< Records between two snapshots.
-    std::vector<Endpoint> seeds;     ///< Peer addresses to try before any list is known.
+    std::size_t snapshotEvery = 256; ///< Log records between two snapshots.
+    std::vector<Endpoint> seeds;     ///< Peer addresses to contact before any VM list is known.
 };
 
-/// \brief All decisions of one daemon about configuration, its distribution and membership.
+/// \brief The control plane of one daemon: configuration, its distribution, and membership.
 ///
-/// Holds no socket, clock, thread or global.
+/// A state machine without I/O: it owns no socket, clock, thread or global state.
 class ControlNode
 {
 public:
@@ -40,9 +40,9 @@
     ControlNode &operator=(const ControlNode &) = delete;
 
     /// \brief Starts pinging, fetching and watching; publishes the empty configuration and a view
-    /// with this daemon alone.
+    /// that holds only this daemon.
     void start(TimePoint now, ControlActions &out);
-    /// \param unixNow Wall clock, only for the times that records carry.
+    /// \param unixNow Wall clock time, used only for the timestamps in records.
     void handle(ControlEvent event, TimePoint now, std::chrono::sys_seconds unixNow,
                 ControlActions &out);
     [[nodiscard]] std::optional<TimePoint> nextTimer() const;
@@ -53,10 +53,10 @@
     [[nodiscard]] ConfigPtr config() const noexcept;
     [[nodiscard]] ViewPtr view() const noexcept;
     [[nodiscard]] DomainStatus status(TimePoint now) const;
-    /// \return Whether the platform's list of VMs has shown this daemon. Until then its view may
-    /// lack others that the lagging list doesn't show either.
+    /// \return Whether this daemon has appeared in the platform's VM list. Until then its view may
+    /// also lack other daemons, since the list lags behind.
     [[nodiscard]] bool listed() const noexcept;
-    /// \return Records that are kept, oldest first, for queries about a change's fate.
+    /// \return The retained records, oldest first, to look up what became of a change.
     [[nodiscard]] std::vector<ChangeRecord> recentChanges() const;
 
 private:
--- a/src/core/control/events.h
+++ b/src/core/control/events.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What goes into a ControlNode.
+/// \brief Events that a ControlNode handles.
 
 #include "core/config/change.h"
 #include "core/messages/peer.h"
@@ -13,16 +13,17 @@
 
 namespace baobabtrail {
 
-/// \brief Pairs a request of the administration API with its outcome.
+/// \brief Matches a request of the administration API with its outcome.
 using ProposalId = StrongId<struct ProposalIdTag>;
 
-/// \brief Only Ping, IndirectPing, PingAck and RevisionNotice reach a ControlNode.
+/// \brief A datagram from a peer; only Ping, IndirectPing, PingAck and RevisionNotice are passed to
+/// a ControlNode.
 struct ControlFromPeer
 {
     Endpoint address;
     PeerDatagram datagram;
 };
-/// \brief Result of a FetchFromPeer; nothing where the peer did not answer.
+/// \brief Result of a FetchFromPeer; no message if the peer did not answer.
 struct FetchResult
 {
     Endpoint records;
@@ -33,15 +34,15 @@
     CallId call;
     PlatformResult result;
 };
-/// \brief Someone wants a change. Its revision is filled in by the node.
+/// \brief Requests a change of the configuration. The node assigns its revision.
 struct Propose
 {
     ProposalId proposal;
     ChangeRecord draft;
-    std::optional<Revision> expected; ///< Refused where the newest revision is another one.
+    std::optional<Revision> expected; ///< Refused unless this is the newest revision.
     bool dryRun = false;
 };
-/// \brief This daemon is about to stop; tell the others.
+/// \brief This daemon is about to stop; the other members are notified.
 struct AnnounceLeave
 {
 };
--- a/src/core/control/peer_fetcher.cpp
+++ b/src/core/control/peer_fetcher.cpp
@@ -66,7 +66,7 @@
     const Revision before = m_log.revision();
     if (const auto *records = message ? std::get_if<Records>(&*message) : nullptr)
         applyRecords(*records, after);
-    // Without progress, asking the same peer again would go on forever.
+    // Without progress, fetching from the same peer again would loop forever.
     if (m_log.revision() == before)
         dropSource(source);
     for (Source &known : m_sources) {
@@ -77,7 +77,7 @@
         fetchNext();
 }
 
-// The log may have grown since the question: records count from the revision that was asked for.
+// Records are numbered from the revision that was requested: the log may have grown since.
 void PeerFetcher::applyRecords(const Records &records, Revision after)
 {
     Revision last = after;
@@ -85,7 +85,7 @@
         last = records.snapshotRevision;
         if (const auto finding = m_log.install(records.snapshotShards))
             m_context.notice(Severity::Warning, Part::Distribution,
-                             "A peer sent a snapshot that is not usable: " + toString(*finding));
+                             "A peer sent an unusable snapshot: " + toString(*finding));
     }
     for (const std::string &text : records.records) {
         last = Revision{last.value() + 1};
--- a/src/core/control/peer_fetcher.h
+++ b/src/core/control/peer_fetcher.h
@@ -8,11 +8,12 @@
 
 namespace baobabtrail {
 
-/// \brief Fetches from peers the records that this daemon lacks.
+/// \brief Fetches missing log records from peers.
 ///
-/// Every daemon that is known to be ahead is a source; one that does not answer or has nothing
-/// usable is dropped until it speaks again. One fetch is under way, and another one from another
-/// source where it takes long: a peer that stands still would otherwise cost seconds.
+/// Every daemon that is known to have a newer revision is a source. A source that does not answer
+/// or returns nothing usable is dropped until it sends another message. One fetch is in flight at a
+/// time; a slow one is hedged by a fetch from another source, since a stalled peer would otherwise
+/// delay the change by seconds.
 class PeerFetcher
 {
 public:
@@ -23,7 +24,8 @@
     {
     }
 
-    /// \brief A peer has this revision in force.
+    /// \brief Called when a peer reports that it has \a revision in force.
+    /// \param records Address that the peer serves its records at.
     void onPeerRevision(Revision revision, const Endpoint &records);
 
 private:
@@ -45,8 +47,8 @@
     ConfigLog &m_log;
     LogReader &m_reader;
     std::vector<Source> m_sources;
-    std::uint64_t m_lastFetchId = 0; ///< Ever begun.
-    std::size_t m_openFetches = 0;   ///< Under way now.
+    std::uint64_t m_lastFetchId = 0; ///< Id of the newest fetch.
+    std::size_t m_openFetches = 0;   ///< Fetches in flight.
 };
 
 } // namespace baobabtrail
--- a/src/core/control/quarantine_check.cpp
+++ b/src/core/control/quarantine_check.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t MaxNamedDaemons = 5; ///< Daemons that a finding names.
+constexpr std::size_t MaxNamedDaemons = 5; ///< Daemons that one finding names.
 
 } // namespace
 
@@ -17,7 +17,8 @@
 {
     std::vector<QuarantineUse> uses;
     Proposer::Cleared done;
-    std::map<DaemonId, std::string> live; ///< With their failure domains.
+    std::map<DaemonId, std::string>
+        live; ///< Daemons on the VM list or in a view, with their failure domains.
     std::map<DaemonId, Revision> passed;
     std::size_t openQueries = 0;
 
--- a/src/core/control/quarantine_check.h
+++ b/src/core/control/quarantine_check.h
@@ -8,12 +8,13 @@
 
 namespace baobabtrail {
 
-/// \brief Finds out whether every live daemon has passed the revision from which on an address got
-/// no more work of its old service.
+/// \brief Checks whether every live daemon has applied the revision that took an address out of its
+/// old service, so that a new service may use the address.
 ///
-/// Asks the watchers of every failure domain, which hear of each daemon of theirs that applies a
-/// revision. A daemon on the VM list that nobody has heard passing blocks the address: it may be
-/// cut off and still send to it. Only the end of the quarantine lets it go then.
+/// Queries the watchers of every failure domain, which are told of each revision that a daemon of
+/// their domain applies. A daemon that is on the VM list and not known to have applied the revision
+/// blocks the address: it may be partitioned and still send the old service's packets there. The
+/// address is then released only when its quarantine expires.
 class QuarantineCheck
 {
 public:
@@ -23,6 +24,8 @@
     {
     }
 
+    /// \param uses The quarantined addresses that a change wants to use.
+    /// \param done Called once with a finding for each address that is still blocked.
     void check(std::vector<QuarantineUse> uses, Proposer::Cleared done);
 
 private:
--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -8,13 +8,15 @@
 
 namespace {
 
-constexpr Duration RoleCheckPeriod = 1s; ///< How often a daemon looks whether it became a watcher.
-constexpr Duration WatchGrace = 1s;      ///< A watch may be this much later than a list.
+constexpr Duration RoleCheckPeriod = 1s; ///< How often a daemon checks whether it became a watcher.
+constexpr Duration WatchGrace = 1s;      ///< Time that a watch may lag behind a list.
 constexpr Duration MinWatchDuration = 200ms;
 constexpr int NonWatcherPeriodFactor
-    = 6; ///< Daemons that need not call do so this much less often.
-constexpr int NonWatcherRemoteTicks = 12; ///< The same for comparing revisions across domains.
-constexpr int MaxUnconfirmedPeriods = 3; ///< Periods without confirmation that make one ask itself.
+    = 6; ///< Daemons that need no VM list retry this many times less often.
+constexpr int NonWatcherRemoteTicks = 12; ///< Non-watchers compare revisions across domains once in
+                                          ///< this many periods.
+constexpr int MaxUnconfirmedPeriods
+    = 3; ///< Unconfirmed periods after which a non-watcher reads the log.
 
 [[nodiscard]] bool containsVm(const VmList &list, DaemonId daemon)
 {
@@ -52,8 +54,8 @@
     return m_swim.watcherRank();
 }
 
-// Every daemon reads the log once for itself, unless its peers give it state first: a restarted
-// domain would otherwise wait for watchers that have yet to find each other.
+// Every daemon reads the log once at startup, unless peers provide the configuration first: a
+// restarted domain would otherwise wait for watchers that have not found each other yet.
 void Watcher::readAtStart()
 {
     m_reader.catchUp([this](const LogReadResult &result) {
@@ -74,7 +76,7 @@
 {
     if (m_watching)
         return;
-    // Without a version to begin behind, a watch would return the whole log.
+    // Without a version to start after, a watch would return the whole log.
     if (!rank() || m_version.isNull()) {
         m_context.after(RoleCheckPeriod, [this] { startWatch(); });
         return;
@@ -91,12 +93,13 @@
 void Watcher::onWatchReply(std::uint64_t epoch, TimePoint startedAt, const PlatformResult &result)
 {
     if (epoch != m_watchEpoch)
-        return; // Given up as silent; another one has taken its place.
+        return; // Abandoned as stalled and already replaced by another watch.
     m_watching = false;
     ++m_watchReplies;
     if (const auto *list = std::get_if<ObjectList>(&result))
         return applyWatchReply(*list, startedAt);
-    // The same watch would be refused for ever: the list brings a version that the store knows.
+    // The same watch would be refused forever: the list provides a version that the store still
+    // has.
     if (std::holds_alternative<HistoryCompacted>(result))
         readLog();
     const auto *failure = std::get_if<PlatformFailure>(&result);
@@ -111,8 +114,8 @@
     for (const StoredObject &object : list.objects)
         m_version = std::max(m_version, object.version);
     if (m_reader.take(list))
-        readLog(); // The watch skipped something.
-    // A watch that returns at once with nothing would turn into a stream of calls.
+        readLog(); // The watch skipped an object.
+    // A watch that keeps returning at once without objects would cause a flood of calls.
     const bool tooShort = list.objects.empty() && m_context.now() - startedAt < MinWatchDuration;
     if (tooShort)
         m_context.after(MinWatchDuration, [this] { startWatch(); });
@@ -120,15 +123,15 @@
         startWatch();
 }
 
-// A watch can die without a word, or skip an object: it then waits on while the log grows. The
-// list finds the record, and a watch that stays silent after that is replaced.
+// A watch can fail silently or skip an object, and then keeps waiting while the log grows. The
+// periodic list finds the record; a watch that has not returned by then is replaced.
 void Watcher::replaceStalledWatch(std::uint64_t replies)
 {
     if (!m_watching || replies != m_watchReplies)
         return;
     m_watching = false;
     ++m_watchEpoch;
-    m_context.notice(Severity::Warning, Part::Platform, "A watch missed a change; watching anew");
+    m_context.notice(Severity::Warning, Part::Platform, "A watch missed a change; restarting it");
     startWatch();
 }
 
@@ -164,8 +167,9 @@
         return false;
     if (rank())
         return true;
-    // The watchers may be cut off alone. Whoever has heard nothing for long asks itself, each
-    // with such a chance that the domain together asks as often as its watchers would.
+    // The watchers alone may be cut off from the platform. A daemon whose configuration was not
+    // confirmed for long reads the log itself, with such a probability that all daemons of the
+    // domain together read as often as its watchers would.
     const Duration period = m_context.settings().antiEntropyPeriod;
     if (m_age() < MaxUnconfirmedPeriods * period)
         return false;
@@ -197,9 +201,9 @@
     });
 }
 
-// VMs that start together all read a list that lags behind them. Each would know only itself for a
-// whole period: it would place work on its own and take a change that it alone has for in force
-// everywhere. Asking again soon, and ever less often, costs a lonely daemon a few calls.
+// VMs that start together all read a list that lags behind. Each would know only itself for a whole
+// period: it would place work by itself and consider a change in force everywhere that only it has.
+// Polling soon, and then less and less often, costs a daemon without peers only a few calls.
 Duration Watcher::vmPollDelay()
 {
     const Duration period = withJitter(m_context.random(), m_context.settings().vmListPeriod);
@@ -208,7 +212,7 @@
     return std::min(period, m_discoveryBackoff.next(m_context.random(), Duration{0}));
 }
 
-// A failure domain that is cut off from the platform learns of changes from the others.
+// A failure domain that is cut off from the platform learns of changes from other domains.
 void Watcher::compareWithRemote()
 {
     const Duration period = m_context.settings().antiEntropyPeriod;
--- a/src/core/control/watcher.h
+++ b/src/core/control/watcher.h
@@ -9,20 +9,23 @@
 
 namespace baobabtrail {
 
-/// \brief What a daemon does at the platform, on behalf of its failure domain where it is one of
-/// the domain's watchers, and for itself when it starts or hears nothing.
+/// \brief Reads the log and the VM list from the platform: for the whole failure domain if this
+/// daemon is one of its watchers, otherwise only at startup or when its configuration is not
+/// confirmed by anyone.
 class Watcher
 {
 public:
     using Age = std::function<Duration()>;
 
-    /// \param age How old the configuration in force may be.
+    /// \param age Returns the time since the configuration in force was last confirmed as the
+    /// newest.
     Watcher(ControlContext &context, ConfigLog &log, LogReader &reader, Swim &swim, Age age);
 
     void start();
-    /// \return Place among the watchers of the domain, or nothing.
+    /// \return Rank among the watchers of the domain, or nullopt if not a watcher.
     [[nodiscard]] std::optional<std::size_t> rank() const;
-    /// \return Whether a list of VMs has shown this daemon; before that it may lag behind others.
+    /// \return Whether this daemon has appeared in the VM list; until then the list may also lack
+    /// others.
     [[nodiscard]] bool listed() const noexcept { return m_listed; }
 
 private:
@@ -49,7 +52,7 @@
     Backoff m_watchBackoff{200ms, 3s};
     Backoff m_vmBackoff{1s, 10s};
     Backoff m_discoveryBackoff{400ms, 10s};
-    ObjectVersion m_version; ///< Newest that a list or watch has shown.
+    ObjectVersion m_version; ///< Newest version that a list or watch returned.
     std::uint64_t m_watchEpoch = 0;
     std::uint64_t m_watchReplies = 0;
     std::optional<TimePoint> m_readNotBefore;
