--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A rumor that a dead member is alive can go round for a while; and a member that was only cut
-/// off is pinged again now and then, which needs its address.
+/// Dead members are retained because a rumor that they are alive can circulate for a while, and
+/// because a member that was only partitioned is still pinged now and then, which needs its
+/// address.
 constexpr Duration DeadRetention = 10min;
 
 [[nodiscard]] int precedence(MemberState state) noexcept
@@ -51,7 +52,7 @@
         entry.suspectedHere = false;
         return Merge::Newer;
     }
-    // News may come out of order; a process never goes back to an older revision.
+    // Updates may arrive out of order, but a process never goes back to an older revision.
     if (entry.update.incarnation == update.incarnation)
         entry.update.revision = std::max(entry.update.revision, update.revision);
     return Merge::Unchanged;
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -9,29 +9,29 @@
 
 namespace baobabtrail {
 
-/// \brief One other daemon of the failure domain.
+/// \brief Another daemon of this failure domain.
 struct MemberEntry
 {
     MemberUpdate update;
     TimePoint changedAt{};
-    TimePoint heardAt{};        ///< Last message that it sent itself.
-    TimePoint suspectUntil{};   ///< Only in use where it is suspected.
-    bool suspectedHere = false; ///< This daemon itself got no answer from it.
+    TimePoint heardAt{};        ///< Last message received from the daemon itself.
+    TimePoint suspectUntil{};   ///< End of the suspicion; set only while one is pending.
+    bool suspectedHere = false; ///< The suspicion is this daemon's: its own ping failed.
 };
 
-/// \brief Whether \a update says something newer than \a known of the same daemon: a higher
-/// incarnation, then a higher version, then the state that overrides the others.
+/// \return Whether \a update supersedes \a known, both of the same daemon: by incarnation, then by
+/// version, then by precedence of the state.
 [[nodiscard]] bool isNewer(const MemberUpdate &update, const MemberUpdate &known) noexcept;
 
-/// \brief What is known of the other daemons of the failure domain, dead ones included for a while.
+/// \brief Table of the other daemons of this failure domain; dead ones are retained for a while.
 class MemberTable
 {
 public:
     enum class Merge { Newer, Unchanged };
 
-    /// \brief Takes news where it is newer; the revision is raised in any case.
+    /// \brief Applies \a update if it is newer; the revision is raised in any case.
     Merge merge(const MemberUpdate &update, TimePoint now);
-    /// \brief Forgets members that are dead for long.
+    /// \brief Erases members that have been dead for long.
     void eraseDead(TimePoint now);
 
     [[nodiscard]] MemberEntry *find(DaemonId id);
@@ -48,7 +48,7 @@
     std::map<DaemonId, MemberEntry> m_entries;
 };
 
-/// \return The entry of a view for \a update.
+/// \return The view's entry for \a update.
 [[nodiscard]] Member toMember(const MemberUpdate &update);
 
 } // namespace baobabtrail
--- a/src/core/membership/remote_members.cpp
+++ b/src/core/membership/remote_members.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration DeadRetention = 60s;
-constexpr Duration ContactTimeout = 90s; ///< A daemon that spoke since then is not dead.
+constexpr Duration ContactTimeout = 90s; ///< A daemon heard from within this time is not dead.
 constexpr std::size_t MaxEntries = 8192;
 
 } // namespace
@@ -53,7 +53,7 @@
     }
 
     for (auto &[id, entry] : m_entries) {
-        // The list lags: a daemon that answers is there, listed or not.
+        // The list lags: a daemon that sends messages is alive, listed or not.
         if (entry.listed || (entry.heard && now - entry.heardAt < ContactTimeout))
             continue;
         if (setState(entry, MemberState::Dead, now))
@@ -78,13 +78,13 @@
     Entry &entry = known->second;
     if (update.incarnation < entry.update.incarnation)
         return false;
-    // The VM list names no incarnation; learning it is no news.
+    // The VM list has no incarnations; learning one is not worth passing on.
     if (entry.update.incarnation.isNull())
         entry.update.incarnation = update.incarnation;
     const bool restarted = update.incarnation > entry.update.incarnation;
     if (!restarted) {
         entry.update.revision = std::max(entry.update.revision, update.revision);
-        // Where two rumors of one process differ, the one further on in its life is the newer.
+        // Where two rumors of one process differ, the one with the later lifecycle state is newer.
         const auto rank = [](MemberState state) {
             return state == MemberState::Dead ? 2 : state == MemberState::Leaving ? 1 : 0;
         };
--- a/src/core/membership/rumors.cpp
+++ b/src/core/membership/rumors.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Sends of one rumor by one daemon for each doubling of the members. Members send two messages
-/// in a ping period, so with 3 the part that hears nothing is far below one daemon in 630.
+/// Number of times that one daemon sends a rumor for each doubling of the number of members.
+/// Members send two messages per ping period, so with 3 the expected number of daemons that a rumor
+/// misses is far below one in 630.
 constexpr std::uint32_t SendsPerDoubling = 3;
 
 } // namespace
--- a/src/core/membership/rumors.h
+++ b/src/core/membership/rumors.h
@@ -7,16 +7,18 @@
 
 namespace baobabtrail {
 
-/// \brief Members whose news still has to be spread, and how often each was sent.
+/// \brief Queue of members whose updates still have to be spread, with the number of times each was
+/// sent.
 class RumorQueue
 {
 public:
-    /// \brief Begins to spread the news of a member, anew where it is spread already.
+    /// \brief Starts spreading the update of a member; restarts if it is already being spread.
     void add(DaemonId member) { m_sent[member] = 0; }
 
-    /// \brief Picks those that were sent least.
-    /// \param count Most to pick. \param members How many daemons have to hear of it; each rumor
-    /// is sent a number of times that grows with the logarithm of this.
+    /// \brief Picks the rumors that were sent the fewest times and counts them as sent.
+    /// \param count Maximum number to pick.
+    /// \param members Number of daemons that a rumor has to reach; each one is sent a number of
+    /// times that grows with the logarithm of this.
     [[nodiscard]] std::vector<DaemonId> take(std::size_t count, std::size_t members);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_sent.size(); }
--- a/src/core/membership/swim.cpp
+++ b/src/core/membership/swim.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t IndirectPings = 3;
-constexpr std::uint64_t DeadPingTicks = 5; ///< A member believed dead is pinged this seldom.
+constexpr std::uint64_t DeadPingTicks = 5; ///< Ticks between two pings of a member considered dead.
 constexpr std::uint64_t SeedPingTicks = 5;
 constexpr std::uint64_t ConnectedSeedPingTicks = 30;
-constexpr std::uint64_t SeedPingsPerTick = 2; ///< By all daemons of a domain together.
+constexpr std::uint64_t SeedPingsPerTick = 2; ///< Sent by all daemons of a domain together.
 constexpr int PingsBeforeRemoval = 2;
 constexpr std::size_t LeavePings = 8;
 constexpr std::uint32_t FastCandidateTries = 3;
@@ -34,7 +34,7 @@
 void Swim::start()
 {
     pingSeed();
-    // Daemons that start together would otherwise ping in step.
+    // Without the random delay, daemons that start together would ping in lockstep.
     const auto period = static_cast<std::size_t>(m_context.settings().pingPeriod.count());
     m_context.after(Duration{m_context.pick(period)}, [this] { tick(); });
 }
@@ -54,21 +54,21 @@
     m_remote.eraseDead(m_context.now());
 }
 
-// Daemons of one domain that start together find each other and nobody else while the VM list can't
-// be read; seeds are then the only way to the other domains, which have the configuration. Two
-// groups of a domain that lost each other meet at a seed again, too.
+// While the VM list can't be read, daemons of one domain that start together find only each other;
+// seeds are then the only way to reach the other domains, which have the configuration. Seeds also
+// reunite two groups of a domain after a partition.
 bool Swim::isSeedDue() const
 {
     if (!hasPeers())
         return true;
     const std::uint64_t ticks = m_remote.empty() ? SeedPingTicks : ConnectedSeedPingTicks;
-    // There are a few seeds for all daemons: the larger the domain, the less often each one asks.
+    // All daemons share a few seeds: the larger the domain, the less often each daemon pings one.
     const std::uint64_t every = std::max<std::uint64_t>(ticks, memberCount() / SeedPingsPerTick);
     return m_ticks % every == m_self.daemon.value() % every;
 }
 
-// A shuffled round reaches every member within a bounded number of periods, which picking at
-// random each time would not.
+// A shuffled round reaches every member within a bounded number of periods; independent random
+// picks would not.
 void Swim::pingNext()
 {
     if (m_round.empty()) {
@@ -86,8 +86,9 @@
     }
 }
 
-// Whoever suspects asks again until the matter is decided. The ping says what is suspected, so one
-// that gets through is enough for a refutation, also where a fifth of all datagrams is lost.
+// A suspected member is pinged until it refutes the suspicion or is removed. The ping carries the
+// suspicion, so one that arrives is enough for a refutation, even with a fifth of all datagrams
+// lost.
 void Swim::pingSuspects()
 {
     for (const MemberEntry *entry : m_table.present()) {
@@ -111,7 +112,7 @@
     sendPing(candidate.vm.address, ++m_sequence, candidate.vm.daemon);
 }
 
-// Both sides of a cut hold each other dead when it heals; someone has to speak first.
+// After a partition heals, both sides consider each other dead; one of them has to send first.
 void Swim::pingDead()
 {
     const std::vector<const MemberEntry *> dead = m_table.dead();
@@ -146,7 +147,7 @@
     m_context.send(address, Ping{sequence, updatesFor(recipient), m_configAge()});
 }
 
-// A lost datagram, or a path that is cut between the two only, must not look like a death.
+// Neither a lost datagram nor a broken path between just two daemons may count as a failure.
 void Swim::pingIndirectly(std::uint64_t sequence)
 {
     const auto pending = m_pending.find(sequence);
@@ -184,7 +185,7 @@
     if (entry.update.state == MemberState::Suspect || entry.suspectUntil > m_context.now())
         return;
     entry.suspectUntil = since + m_context.settings().suspicion;
-    // A leaving member owns nothing any more; calling it suspect would give its targets back.
+    // A leaving member owns no targets any more; marking it suspect would give them back to it.
     if (entry.update.state == MemberState::Alive) {
         entry.update.state = MemberState::Suspect;
         entry.changedAt = m_context.now();
@@ -208,7 +209,7 @@
     m_context.after(wait, [this, id] { removeIfStillSuspect(id); });
 }
 
-// A refutation may have missed this daemon alone: it asks for itself before it removes.
+// A refutation may have missed only this daemon, so it pings the member once more before removal.
 void Swim::pingBeforeRemoval(DaemonId id)
 {
     const MemberEntry *entry = m_table.find(id);
--- a/src/core/membership/swim.h
+++ b/src/core/membership/swim.h
@@ -13,15 +13,16 @@
 
 namespace baobabtrail {
 
-/// \brief Membership of the failure domain by SWIM: random pings, indirect pings, suspicion before
-/// removal, refutation, and news that rides on pings.
+/// \brief Membership of the failure domain by the SWIM protocol: random pings, indirect pings,
+/// suspicion before removal, refutation, and updates piggybacked on pings.
 ///
-/// Each daemon sends one ping in a period whatever the size of its domain, so the cost is constant
-/// and the time to detect a death hardly grows. Nothing that must hold rests on the result.
+/// Each daemon sends one ping per period whatever the size of its domain, so the cost is constant
+/// and the time to detect a failure hardly grows. No safety property depends on the result.
 class Swim
 {
 public:
-    /// \brief Called with what a daemon said of itself, and the age of its configuration.
+    /// \brief Called with an update that a daemon sent about itself, and the age of its
+    /// configuration.
     using UpdateHandler = std::function<void(const MemberUpdate &, std::optional<Duration>)>;
     using Age = std::function<std::optional<Duration>()>;
 
@@ -30,10 +31,11 @@
     void start();
     void receive(const PeerDatagram &datagram, const Endpoint &from);
     void applyVmList(const VmList &list);
-    /// \brief Takes what a peer answered to FetchStatus.
+    /// \brief Applies a peer's answer to FetchStatus.
     void applyStatus(const DomainStatus &status);
     void announceLeave();
-    /// \brief After a pause of this process: what it waited for says nothing of the others.
+    /// \brief Called after this process stalled: missing answers then say nothing about other
+    /// members, so pending pings are dropped and suspicions start over.
     void onStall();
 
     void setRevision(Revision revision);
@@ -45,23 +47,23 @@
     /// \return Whether anything but revisions changed since the last call.
     [[nodiscard]] bool takeChanged();
     [[nodiscard]] std::vector<MemberUpdate> statusMembers() const;
-    /// \return Place of this daemon among the watchers of its domain, or nothing.
+    /// \return Rank of this daemon among the watchers of its domain, or nullopt if not a watcher.
     [[nodiscard]] std::optional<std::size_t> watcherRank() const;
     [[nodiscard]] bool hasPeers() const;
     [[nodiscard]] std::size_t memberCount() const;
     [[nodiscard]] bool isLeaving() const noexcept { return m_self.state == MemberState::Leaving; }
-    /// \return Other daemons of the domain that are believed alive.
+    /// \return Other daemons of the domain that are not considered dead.
     [[nodiscard]] std::vector<const MemberUpdate *> peers() const;
     [[nodiscard]] const RemoteMembers &remote() const noexcept { return m_remote; }
 
 private:
-    /// \brief A ping that waits for its acknowledgement.
+    /// \brief A ping that was not acknowledged yet.
     struct Pending
     {
         DaemonId member;
         TimePoint sentAt;
     };
-    /// \brief A ping made on behalf of another daemon.
+    /// \brief A ping sent on behalf of another daemon.
     struct Relay
     {
         Endpoint requester;
@@ -114,12 +116,12 @@
     std::map<DaemonId, Candidate> m_candidates; ///< Listed VMs that never answered.
     std::map<std::uint64_t, Pending> m_pending;
     std::map<std::uint64_t, Relay> m_relays;
-    std::vector<DaemonId> m_round; ///< Whom to ping next, from the back.
+    std::vector<DaemonId> m_round; ///< Members left to ping in this round, taken from the back.
     std::uint64_t m_sequence = 0;
     std::uint64_t m_ticks = 0;
     std::size_t m_nextRemoteDomain = 0;
     std::optional<TimePoint> m_leavingHintRefutedAt;
-    bool m_membersFetched = false; ///< Whether a peer told all that it knows.
+    bool m_membersFetched = false; ///< Whether a peer has answered with all members it knows.
     bool m_fetchingMembers = false;
     bool m_changed = true;
 };
--- a/src/core/membership/swim_updates.cpp
+++ b/src/core/membership/swim_updates.cpp
@@ -1,4 +1,4 @@
-// What daemons tell each other of members: the half of Swim that takes and makes updates.
+// The part of Swim that applies and composes member updates.
 
 #include "core/membership/swim.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t MaxUpdates = 8; ///< On one ping, the sender's own included.
+constexpr std::size_t MaxUpdates = 8; ///< Per ping, the sender's own included.
 constexpr Duration LeavingHintTimeout = 60s;
 
 } // namespace
@@ -52,7 +52,7 @@
             m_rumors.add(update.daemon);
         return;
     }
-    // Death of a daemon that is not known here is no news: it would only be kept for long.
+    // The death of an unknown daemon is ignored: its entry would only be retained for long.
     if (update.state == MemberState::Dead && !m_table.find(update.daemon))
         return;
     if (m_table.merge(update, m_context.now()) == MemberTable::Merge::Unchanged)
@@ -71,8 +71,7 @@
 void Swim::applyUpdateOfSelf(const MemberUpdate &update)
 {
     if (update.incarnation > m_self.incarnation) {
-        m_context.notice(Severity::Error, Part::Membership,
-                         "Another daemon runs under this daemon's id");
+        m_context.notice(Severity::Error, Part::Membership, "Another daemon uses this daemon's id");
         return;
     }
     if (update.incarnation < m_self.incarnation || update.version < m_self.version)
@@ -82,8 +81,9 @@
         return refute(update.version);
     if (update.state != MemberState::Leaving || isLeaving())
         return;
-    // The VM list says that this VM leaves. It lags, so the hint may be wrong: it is obeyed for a
-    // while and refuted then; were it refuted at once, the two would take turns forever.
+    // The VM list reports that this VM is leaving. The list lags, so this may be wrong: the hint is
+    // honoured for a while and then refuted. If it were refuted at once, hint and refutation would
+    // alternate forever.
     const TimePoint now = m_context.now();
     if (!m_leavingHintRefutedAt)
         m_leavingHintRefutedAt = now;
@@ -98,8 +98,8 @@
     m_self.version = version + 1;
 }
 
-// A daemon that has just started knows nobody: one answer with all members is far cheaper than
-// hearing of each on pings.
+// A daemon that has just started knows no members: one answer that lists all is far cheaper than
+// learning each from pings.
 void Swim::fetchMembers(const MemberUpdate &peer)
 {
     if (m_membersFetched || m_fetchingMembers)
@@ -152,7 +152,7 @@
     std::vector<MemberUpdate> updates{m_self};
     if (m_remote.find(recipient))
         return updates;
-    // Whoever is wrongly believed dead or suspect has to hear of it to refute it.
+    // A member that is wrongly considered dead or suspect has to be told in order to refute it.
     const MemberEntry *entry = m_table.find(recipient);
     if (entry && entry->update.state != MemberState::Alive)
         updates.push_back(entry->update);
@@ -167,7 +167,7 @@
     return updates;
 }
 
-// Rumors can miss a daemon. One entry at random on each ping makes views equal again in time.
+// Rumors can miss a daemon. One random entry on each ping makes the views converge eventually.
 void Swim::addRandomMember(std::vector<MemberUpdate> &updates)
 {
     const std::map<DaemonId, MemberEntry> &members = m_table.entries();
--- a/src/core/membership/view.h
+++ b/src/core/membership/view.h
@@ -11,7 +11,7 @@
 
 namespace baobabtrail {
 
-/// \brief A daemon as the membership sees it.
+/// \brief A daemon as seen by the membership protocol.
 struct Member
 {
     DaemonId id;
@@ -25,20 +25,21 @@
     friend bool operator==(const Member &, const Member &) = default;
 };
 
-/// \brief Who is believed to be alive. Two daemons' views may differ at any time: nothing that
-/// must hold may rest on one, only balance.
+/// \brief The daemons that are considered alive. The views of two daemons may differ at any time,
+/// so no safety property may depend on them, only load balancing.
 struct View
 {
     DaemonId self;
-    std::string domain;          ///< Of this daemon.
-    std::vector<Member> members; ///< Of this domain, this daemon included, by id.
-    std::map<std::string, std::vector<Member>> remote; ///< Other domains, from the VM list.
-
-    /// \brief Owner of a target of this domain by rendezvous hash over the members that are
-    /// alive or suspect.
-    /// \return The owner, or null where no member may own targets.
+    std::string domain;          ///< Failure domain of this daemon.
+    std::vector<Member> members; ///< Members of this domain, this daemon included, ordered by id.
+    std::map<std::string, std::vector<Member>>
+        remote; ///< Other domains, from the VM list and rumors.
+
+    /// \brief Selects the owner of a target of this domain by rendezvous hashing over the members
+    /// that are alive or suspect.
+    /// \return The owner, or null if no member may own targets.
     [[nodiscard]] const Member *ownerOf(TargetId target) const noexcept;
-    /// \return The member of this domain, or null.
+    /// \return The member of this domain with this id, or null.
     [[nodiscard]] const Member *find(DaemonId id) const noexcept;
 
     friend bool operator==(const View &, const View &) = default;
--- a/src/core/membership/watchers.h
+++ b/src/core/membership/watchers.h
@@ -8,19 +8,19 @@
 #include <vector>
 
 /// \file
-/// \brief Which daemons of a failure domain talk to the platform for all of it.
+/// \brief Selection of the watchers: the daemons that poll the platform for their failure domain.
 
 namespace baobabtrail {
 
-/// \brief Orders the members of a domain by rendezvous hash; the first few are its watchers.
+/// \brief Selects the watchers of a domain: the first members in the order of a rendezvous hash.
 ///
-/// Every daemon works this out from its own view. Where views differ, a domain has a watcher more
-/// or another one for a while, which costs some calls and nothing else.
-/// \return Members that are alive or suspect, the first watcher first; \a count at most.
+/// Every daemon computes this from its own view. Where views differ, a domain has an extra or a
+/// different watcher for a while, which only costs some calls to the platform.
+/// \return At most \a count members that are alive or suspect, by rank.
 [[nodiscard]] std::vector<const Member *>
 watchersOf(std::string_view domain, const std::vector<Member> &members, std::size_t count);
 
-/// \return Place of \a id among the first \a count, or nothing where it is not one of them.
+/// \return Rank of \a id among the first \a count, or nullopt if it is not one of them.
 [[nodiscard]] std::optional<std::size_t> watcherRank(std::string_view domain,
                                                      const std::vector<Member> &members,
                                                      std::size_t count, DaemonId id);
