--- a/src/core/messages/flow.h
+++ b/src/core/messages/flow.h
@@ -12,36 +12,36 @@
 
 namespace baobabtrail {
 
-/// \brief Asks for a new flow. Sent again, with \a attempt one higher, until an answer comes.
+/// \brief Asks for a new flow. Retransmitted, with \a attempt one higher each time, until answered.
 struct OpenFlow
 {
     FlowId flow;
     ServiceId service;
-    FlowId resumes;            ///< Flow that this one takes the place of; null for none.
+    FlowId resumes;            ///< Flow that this one replaces; null if none.
     std::uint32_t attempt = 0; ///< 0 for the first datagram.
 };
 
-/// \brief The flow is placed; every later message of the caller carries the token.
+/// \brief The flow has a target; every later message of the caller carries the token.
 struct AcceptFlow
 {
     FlowId flow;
     FlowToken token;
 };
 
-/// \brief Why work was not taken.
+/// \brief Why a flow or request was refused.
 enum class RefusalCause {
-    UnknownService, ///< Not in the configuration of the daemon that was asked.
-    NoTarget,       ///< No target of the service may take work now.
-    Overload,       ///< Queues and slots are full.
-    WorkspaceLimit, ///< The workspace's fair share or retry budget is used up.
-    TableFull,      ///< The daemon's own bound on state.
-    DeadlinePassed, ///< Too late to start before the deadline.
-    Stopping,       ///< The daemon is leaving; ask again, another one will answer.
-    Cancelled,      ///< The caller withdrew it before it started.
-    TargetShed,     ///< The target itself said that it did not run it.
+    UnknownService, ///< Not in the daemon's configuration.
+    NoTarget,       ///< No target of the service currently accepts work.
+    Overload,       ///< All queues and slots are full.
+    WorkspaceLimit, ///< The workspace's fair share or retry budget is exhausted.
+    TableFull,      ///< The daemon's limit on state entries is reached.
+    DeadlinePassed, ///< It could not be started before its deadline.
+    Stopping,       ///< The daemon is leaving; a retry will reach another one.
+    Cancelled,      ///< The caller cancelled it before it started.
+    TargetShed,     ///< The target reported that it did not run it.
 };
 
-/// \brief The flow was not placed; the caller may ask again after \a retryAfter.
+/// \brief The flow was refused; the caller may retry after \a retryAfter.
 struct RefuseFlow
 {
     FlowId flow;
@@ -49,7 +49,7 @@
     Duration retryAfter{0};
 };
 
-/// \brief Payload of a flow, in either direction; opaque to the system.
+/// \brief Payload of a flow, in either direction; opaque to the load balancer.
 struct FlowData
 {
     FlowId flow;
@@ -57,13 +57,13 @@
     std::string payload;
 };
 
-/// \brief Asks the target for a sign of life.
+/// \brief Liveness probe of a flow, sent to its target.
 struct KeepAlive
 {
     FlowId flow;
     FlowToken token;
-    std::uint32_t unanswered = 0; ///< How many before this one got no answer; lets a daemon that
-                                  ///< keeps no flow table see that a flow has gone silent.
+    std::uint32_t unanswered = 0; ///< Unanswered probes before this one; lets a daemon without
+                                  ///< a flow table detect that a flow has gone silent.
 };
 
 struct KeepAliveAck
@@ -72,7 +72,7 @@
     FlowToken token;
 };
 
-/// \brief Either end is done with the flow.
+/// \brief Either end closes the flow.
 struct CloseFlow
 {
     FlowId flow;
@@ -81,11 +81,11 @@
 
 /// \brief Why a flow was reset.
 enum class ResetCause {
-    BadToken,     ///< Forged, for another flow, or of a key that is no longer accepted.
-    TargetCut,    ///< An operator cut the target off.
+    BadToken,     ///< Forged, of another flow, or sealed with a key that is no longer accepted.
+    TargetCut,    ///< An operator cut the target.
     TargetGone,   ///< The target is considered dead.
-    Silent,       ///< The target answers others but not this flow.
-    UnknownFlow,  ///< The target does not know the flow.
+    Silent,       ///< The target answers other flows but not this one.
+    UnknownFlow,  ///< The target has no such flow.
     WrongService, ///< The target serves another service or another generation.
 };
 
@@ -102,14 +102,14 @@
 
 /// \brief Envelope of a flow message between a daemon and a target, over UDP.
 ///
-/// The target echoes caller and token in all it sends, so that any daemon can pass it on.
+/// The target echoes the caller and token in every message, so that any daemon can forward it.
 struct TargetDatagram
 {
     Endpoint caller;
-    FlowToken token;  ///< The target refuses a service, id or generation that is not its own.
-    Endpoint replyTo; ///< Daemon that waits for the answer to an OpenFlow; otherwise null, and the
+    FlowToken token;  ///< The target refuses any service, id or generation but its own.
+    Endpoint replyTo; ///< Daemon that awaits the answer to an OpenFlow; otherwise null, and the
                       ///< target answers through the fabric.
-    std::optional<LoadReport> load; ///< Only from a target.
+    std::optional<LoadReport> load; ///< Set only by targets.
     FlowMessage body;
 };
 
--- a/src/core/messages/platform.h
+++ b/src/core/messages/platform.h
@@ -3,8 +3,8 @@
 /// \file
 /// \brief Calls to the platform's object store and VM list, and their results.
 ///
-/// Keys are the product's own, as "config/log/7"; the adapter in platform/ knows which kind and
-/// name of object stands behind each.
+/// Keys are internal, such as "config/log/7"; the adapter in platform/ maps each to the kind and
+/// name of a platform object.
 
 #include "core/endpoint.h"
 #include "core/ids.h"
@@ -16,9 +16,9 @@
 
 namespace baobabtrail {
 
-/// \brief Version of the store's newest write of an object; grows over the whole store.
+/// \brief Version of an object's latest write; increases across the whole store.
 using ObjectVersion = StrongId<struct ObjectVersionTag>;
-/// \brief Pairs a platform call with its result.
+/// \brief Matches a platform call with its result.
 using CallId = StrongId<struct CallIdTag>;
 
 struct StoredObject
@@ -28,13 +28,13 @@
     ObjectVersion version;
 };
 
-/// \brief Creates an object where none has the key.
+/// \brief Creates an object unless one with the key exists.
 struct CreateObject
 {
     std::string key;
     std::string value;
 };
-/// \brief Replaces an object that still has the expected version.
+/// \brief Replaces an object if it still has the expected version.
 struct UpdateObject
 {
     std::string key;
@@ -45,22 +45,22 @@
 {
     std::string key;
 };
-/// \brief Lists objects by key, in the order of their keys.
+/// \brief Lists objects, ordered by key.
 struct ListObjects
 {
     std::string prefix;
-    std::string after; ///< Only keys behind this one.
+    std::string after; ///< Only keys after this one.
     std::uint32_t limit = 100;
-    /// The answer may be seconds old, and costs the store a fraction of one that may not.
+    /// Allows an answer that is seconds old, which costs the store a fraction of a consistent read.
     bool allowStale = false;
 };
-/// \brief Waits until an object below \a prefix is newer than \a after, or \a wait is over.
+/// \brief Waits until an object under \a prefix is newer than \a after, or \a wait has elapsed.
 struct WatchObjects
 {
     std::string prefix;
     ObjectVersion after;
     Duration wait{0};
-    std::uint64_t maxBytes = 0; ///< A longer answer is not taken; 0 for any.
+    std::uint64_t maxBytes = 0; ///< Limit on the size of the answer; 0 for none.
 };
 struct DeleteObject
 {
@@ -73,7 +73,7 @@
 using PlatformRequest = std::variant<CreateObject, UpdateObject, ReadObject, ListObjects,
                                      WatchObjects, DeleteObject, ListVms>;
 
-/// \brief A VM of the system as the platform lists it; the list lags.
+/// \brief A VM as listed by the platform; the list lags behind.
 struct VmEntry
 {
     DaemonId daemon;
@@ -87,7 +87,7 @@
 {
     ObjectVersion version;
 };
-/// \brief The key exists already, or has another version than expected.
+/// \brief The key already exists, or does not have the expected version.
 struct WriteConflict
 {
 };
@@ -97,15 +97,17 @@
 struct ObjectList
 {
     std::vector<StoredObject> objects;
-    ObjectVersion latest;                  ///< Newest version in the store when the list was made.
-    std::vector<std::string> removed = {}; ///< Only from a watch: keys that are gone since.
-    bool more = false; ///< Only from a list: further objects follow behind the last key.
+    ObjectVersion latest;                  ///< Newest version in the store at the time of the list.
+    std::vector<std::string> removed = {}; ///< Only from a watch: keys deleted since.
+    bool more = false; ///< Only from a list: more objects follow after the last key.
 };
-/// \brief The store has forgotten the changes that a watch asked for: only a list tells the state.
+/// \brief The store has compacted the changes that a watch asked for; only a list returns the
+/// current state.
 struct HistoryCompacted
 {
 };
-/// \brief A watch has more to say than was allowed: every version of each object. A list says less.
+/// \brief The answer to a watch exceeds the allowed size, since it holds every version of each
+/// object. A list is smaller.
 struct WatchAnswerTooLarge
 {
 };
@@ -113,12 +115,12 @@
 {
     std::vector<VmEntry> vms;
 };
-/// \brief No usable result: refused, timed out, or the reply was lost. A write may have taken
+/// \brief No usable result: refused, timed out, or the reply was lost. A write may still have taken
 /// effect.
 struct PlatformFailure
 {
     std::string what;
-    Duration retryAfter{0}; ///< What the platform asked for; 0 where it said nothing.
+    Duration retryAfter{0}; ///< Wait that the platform asked for; 0 if none.
 };
 
 using PlatformResult = std::variant<Written, WriteConflict, StoredObject, ObjectMissing, ObjectList,
--- a/src/core/messages/records.h
+++ b/src/core/messages/records.h
@@ -13,35 +13,35 @@
 
 namespace baobabtrail {
 
-/// \brief Asks for the records after \a after.
+/// \brief Requests the records after revision \a after.
 struct FetchRecords
 {
     Revision after;
     std::uint32_t limit = 64;
 };
 
-/// \brief Records in order, each as it stands in the log; or a snapshot where the log no longer
-/// reaches back that far.
+/// \brief Records in order, each as stored in the log, preceded by a snapshot if the log no longer
+/// reaches back far enough.
 struct Records
 {
-    std::vector<std::string> snapshotShards; ///< Empty where the records suffice.
+    std::vector<std::string> snapshotShards; ///< Empty if no snapshot is needed.
     Revision snapshotRevision;
-    std::vector<std::string> records; ///< They follow on \a snapshotRevision, or on the asked one.
-    Revision latest;                  ///< Newest revision that the sender has in force.
+    std::vector<std::string> records; ///< They follow \a snapshotRevision or the requested one.
+    Revision latest;                  ///< Newest revision in force at the sender.
 };
 
-/// \brief Asks for what a daemon knows of the members of its failure domain.
+/// \brief Requests the status of the daemon's failure domain.
 struct FetchStatus
 {
 };
 
-/// \brief Status of a failure domain as one of its daemons sees it.
+/// \brief Status of a failure domain as seen by one of its daemons.
 struct DomainStatus
 {
     std::string domain;
     Revision revision; ///< In force at the sender.
     std::vector<MemberUpdate> members;
-    Duration configAge{0}; ///< Since the sender last heard that its configuration is the newest.
+    Duration configAge{0}; ///< Since the sender's configuration was last confirmed as the newest.
 };
 
 using RecordsMessage = std::variant<FetchRecords, Records, FetchStatus, DomainStatus>;
--- a/src/core/messages/request.h
+++ b/src/core/messages/request.h
@@ -14,7 +14,7 @@
 
 namespace baobabtrail {
 
-/// \brief Priority class of a request; a lower value goes first.
+/// \brief Priority class of a request; a lower value has priority.
 enum class RequestClass : std::uint8_t {
     Urgent = 0, ///< Pass checks.
     Normal = 1, ///< Swap requests.
@@ -22,7 +22,7 @@
 };
 inline constexpr std::size_t RequestClassCount = 3;
 
-/// \brief Asks for an owner of a request; nothing is run yet.
+/// \brief Asks for a daemon to own a request; nothing is run yet.
 struct Reserve
 {
     RequestId request;
@@ -33,14 +33,14 @@
     std::uint32_t attempt = 0;
 };
 
-/// \brief One daemon owns the request now. The caller keeps to the first one it gets.
+/// \brief A daemon now owns the request. The caller uses the first reservation that it receives.
 struct Reserved
 {
     RequestId request;
     ReservationToken token;
 };
 
-/// \brief The request itself. Sent again until an Answer, a NotRun or an OutcomeUnknown comes.
+/// \brief The request itself. Retransmitted until an Answer, a NotRun or an OutcomeUnknown arrives.
 struct RequestData
 {
     RequestId request;
@@ -48,7 +48,7 @@
     std::string payload;
 };
 
-/// \brief One part of the answer; an answer longer than a datagram comes in several.
+/// \brief One part of the answer; an answer longer than a datagram is split into several.
 struct Answer
 {
     RequestId request;
@@ -59,24 +59,24 @@
 
 /// \brief The request did not run and will not, under this reservation.
 ///
-/// A caller that reserved twice may be refused by one daemon while another one's reservation runs:
-/// once it has sent its RequestData, it takes a NotRun only from the owner of that reservation. A
-/// new try takes a new request id.
+/// A caller that reserved twice may be refused by one daemon while its reservation at another one
+/// is running: once it has sent its RequestData, it accepts a NotRun only from the owner of that
+/// reservation. A retry needs a new request id.
 struct NotRun
 {
     RequestId request;
     RefusalCause cause = RefusalCause::Overload;
     Duration retryAfter{0};
-    DaemonId owner{}; ///< Owner of the reservation that ended; null where none was made.
+    DaemonId owner{}; ///< Owner of the reservation that ended; null if there was none.
 };
 
-/// \brief Why nobody can say whether the request ran.
+/// \brief Why it is unknown whether the request ran.
 enum class UnknownCause {
-    DeadlinePassed, ///< Dispatched, no answer before the deadline.
+    DeadlinePassed, ///< Dispatched, but not answered before the deadline.
     LinkBroken,     ///< The connection to the target broke after dispatch.
-    OwnerRestarted, ///< The reservation is of an earlier incarnation of its owner.
+    OwnerRestarted, ///< The reservation was made by an earlier incarnation of its owner.
     OwnerGone,      ///< The owner is considered dead.
-    Expired,        ///< The deadline has passed and nothing is kept of the request any more.
+    Expired,        ///< The deadline has passed and the state of the request was erased.
 };
 
 struct OutcomeUnknown
@@ -85,7 +85,7 @@
     UnknownCause cause = UnknownCause::DeadlinePassed;
 };
 
-/// \brief The caller no longer wants the request; answered by NotRun where it had not started.
+/// \brief Cancels a request; answered by NotRun if it had not started.
 struct CancelRequest
 {
     RequestId request;
@@ -95,13 +95,13 @@
 using RequestMessage
     = std::variant<Reserve, Reserved, RequestData, Answer, NotRun, OutcomeUnknown, CancelRequest>;
 
-/// \brief All that passes between a caller and a daemon.
+/// \brief Any message between a caller and a daemon.
 using CallerMessage = std::variant<FlowMessage, RequestMessage>;
 
-/// \brief One dispatch of a request to a target; chosen by the owner, never used twice.
+/// \brief Identifies one dispatch of a request to a target; chosen by the owner and never reused.
 using AttemptId = StrongId<struct AttemptIdTag>;
 
-/// \brief First message on a connection to a target, again every few seconds.
+/// \brief First message on a connection to a target, repeated every few seconds.
 struct LinkHello
 {
     ServiceId service;
@@ -109,7 +109,7 @@
     Generation generation;
 };
 
-/// \brief Who the target says it is; it gets no work before this matches.
+/// \brief Identity reported by the target; it receives no work until this matches.
 struct LinkHelloReply
 {
     ServiceId service;
@@ -131,7 +131,7 @@
     AttemptId attempt;
 };
 
-/// \brief The attempt ran to its end.
+/// \brief The attempt ran to completion.
 struct AttemptDone
 {
     AttemptId attempt;
@@ -139,7 +139,7 @@
     std::string payload;
 };
 
-/// \brief The target's own word that the attempt did not run and will not.
+/// \brief The target reports that the attempt did not run and will not.
 struct AttemptNotRun
 {
     AttemptId attempt;
@@ -147,7 +147,7 @@
     RefusalCause cause = RefusalCause::TargetShed;
 };
 
-/// \brief All that passes over the TCP connection between an owner and a target.
+/// \brief Any message on the TCP connection between an owner and a target.
 using LinkMessage
     = std::variant<LinkHello, LinkHelloReply, Dispatch, CancelAttempt, AttemptDone, AttemptNotRun>;
 
