--- a/src/core/control/context.h
+++ b/src/core/control/context.h
@@ -73,8 +73,7 @@
     std::multimap<TimePoint, Callback> m_timers;
     std::uint64_t m_lastCall = 0;
     std::unordered_map<CallId, PlatformHandler> m_calls;
-    std::unordered_map<Endpoint, std::deque<PendingFetch>>
-        m_fetchQueues; ///< The front entry is in flight.
+    std::unordered_map<Endpoint, std::deque<PendingFetch>> m_fetchQueues; ///< Front one in flight.
 };
 
 } // namespace baobabtrail
--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -69,8 +69,7 @@
     Proposer m_proposer;
     ConfigPtr m_published;
     TimePoint m_startedAt{};
-    std::optional<TimePoint>
-        m_peerConfirmedAt; ///< When a peer last confirmed the revision in force.
+    std::optional<TimePoint> m_peerConfirmedAt; ///< Latest confirmation by a peer.
     std::optional<TimePoint> m_ageReportedAt;
 };
 
--- a/src/core/control/quarantine_check.cpp
+++ b/src/core/control/quarantine_check.cpp
@@ -17,8 +17,7 @@
 {
     std::vector<QuarantineUse> uses;
     Proposer::Cleared done;
-    std::map<DaemonId, std::string>
-        live; ///< Daemons on the VM list or in a view, with their failure domains.
+    std::map<DaemonId, std::string> live; ///< With their failure domains.
     std::map<DaemonId, Revision> passed;
     std::size_t openQueries = 0;
 
--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -11,12 +11,10 @@
 constexpr Duration RoleCheckPeriod = 1s; ///< How often a daemon checks whether it became a watcher.
 constexpr Duration WatchGrace = 1s;      ///< Time that a watch may lag behind a list.
 constexpr Duration MinWatchDuration = 200ms;
-constexpr int NonWatcherPeriodFactor
-    = 6; ///< Daemons that need no VM list retry this many times less often.
+constexpr int NonWatcherPeriodFactor = 6; ///< For VM list retries of non-watchers.
 constexpr int NonWatcherRemoteTicks = 12; ///< Non-watchers compare revisions across domains once in
                                           ///< this many periods.
-constexpr int MaxUnconfirmedPeriods
-    = 3; ///< Unconfirmed periods after which a non-watcher reads the log.
+constexpr int MaxUnconfirmedPeriods = 3;  ///< Non-watchers read the log after this many.
 
 [[nodiscard]] bool containsVm(const VmList &list, DaemonId daemon)
 {
