--- a/tests/control/accept_test.cpp
+++ b/tests/control/accept_test.cpp
@@ -15,8 +15,8 @@
         cr_expect(false, "%s: %s", cell.c_str(), violation.c_str());
 }
 
-/// \brief Asks for the change once more at another daemon, as an operator does who got no answer,
-/// and checks that it is in force everywhere, once.
+/// \brief Proposes the same change again at another daemon, as an operator without an answer does,
+/// and checks that it is in force everywhere, exactly once.
 void retryAndExpectInForce(Cluster &net, const std::string &id, const std::string &cell)
 {
     const ProposalId again = net.propose(7, weightChange(id, 50));
@@ -64,9 +64,9 @@
     }
 }
 
-// An operator asks for a change while the platform fails in one way at one step of accepting it.
-// Each daemon's next calls of that kind meet the fault, then the platform works again. Whatever the
-// operator is told must be true; asking again with the same id must give the change, once.
+// The platform fails in one way at one step while a change is being accepted: the proposing
+// daemon's next 1, 2 or 100 calls of that kind fail, then the platform works again. Reported
+// outcomes must be true, and a retry with the same change id must log the change exactly once.
 Test(accept, everyPlatformFaultAtEveryStep)
 {
     for (const auto &[fault, faultName] : CallFaults) {
@@ -80,7 +80,7 @@
                                                          const PlatformRequest &request) {
                     const bool lostFirst = hit == CallKind::Read && left > 0 && node == Proposer
                                            && kindOf(request) == CallKind::Create;
-                    if (lostFirst) // Nothing is read back unless a create got no answer.
+                    if (lostFirst) // The record is read back only after a create without a reply.
                         return PlatformFault::ReplyLost;
                     if (node != Proposer || kindOf(request) != hit || left == 0)
                         return PlatformFault::None;
@@ -91,7 +91,7 @@
                 net.run(14s);
                 cr_expect(net.outcome(id) != nullptr, "%s: no outcome", cell.c_str());
                 cr_expect(!net.get<ProposalRefused>(id), "%s: refused", cell.c_str());
-                // A reply that was lost once is resolved by the daemon itself.
+                // The daemon itself resolves a single lost reply.
                 const auto *accepted = net.get<ProposalAccepted>(id);
                 if (fault == PlatformFault::ReplyLost && count == 1)
                     cr_expect(accepted && !accepted->repeated, "%s", cell.c_str());
@@ -102,8 +102,9 @@
     }
 }
 
-// The daemon that an operator asked dies, is restarted or stands still for a while, just before or
-// just after one of its calls leaves. The operator asks another daemon with the same change id.
+// The proposing daemon is killed, restarted or frozen just before or just after it sends a platform
+// call. The operator retries at another daemon with the same change id, and the change must be
+// logged exactly once.
 Test(accept, proposerKilledRestartedOrFrozenAtEveryStep)
 {
     enum class NodeFault { Kill, Restart, Freeze };
@@ -153,8 +154,9 @@
     }
 }
 
-// Two operators, and then nine, ask for changes at different daemons in the same instant, all with
-// the revision that they saw. One of them gets it; the others are told whose change came first.
+// Two operators, and then nine, propose changes at different daemons at the same time, all
+// expecting the same revision. Exactly one succeeds; the others are refused with the id of the
+// winning change.
 Test(accept, racingOperatorsHaveOneWinnerNamedToTheOthers)
 {
     for (const std::size_t operators : {2, 9}) {
@@ -198,8 +200,8 @@
     expectNoViolations(net, "race");
 }
 
-// Two daemons are asked for one change with one id, as by an operator whose tool tries again
-// elsewhere while the first try is still under way.
+// The same change id is proposed at two daemons at once, as by a tool that retries at another
+// daemon while its first attempt is still in progress.
 Test(accept, sameChangeProposedTwiceConcurrentlyIsLoggedOnce)
 {
     Cluster net;
--- a/tests/control/distribute_test.cpp
+++ b/tests/control/distribute_test.cpp
@@ -5,8 +5,8 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// A change is accepted while one step of its way to the daemons fails for all of them and for as
-// long as it takes: watches, lists, notices between daemons, fetches. The other steps must make up.
+// One way of distribution (watches, lists, notices between daemons or fetches) fails permanently
+// for all daemons while a change is accepted. The other ways must still bring it to every daemon.
 Test(distribute, everyFaultAtEveryStepIsTolerated)
 {
     using enum PlatformFault;
@@ -67,7 +67,7 @@
         for (const std::size_t perDomain : {3, 8}) {
             Cluster net{7, perDomain};
             cell.cause(net);
-            net.run(25s); // Watches that began before are over.
+            net.run(25s); // Watches that started before the fault have ended.
             const Revision revision = net.accept(1, weightChange("w", 50));
             net.run(10s);
             cr_expect(net.everywhere(revision) && !revision.isNull(), "%s", cell.name.c_str());
@@ -77,8 +77,9 @@
     }
 }
 
-// Any daemon, watchers too, dies, restarts or stands still in the moment that it hears of a change,
-// fetches it, or applies it. The rest must have the change in time, and it once it is back.
+// Any daemon, watchers included, is killed, restarted or frozen while it learns of a change,
+// fetches it, applies it or announces it. The others must still apply it in time, and the daemon
+// itself once it is back.
 Test(distribute, daemonKilledRestartedOrFrozenAtEveryStep)
 {
     enum class NodeFault { Kill, Restart, Freeze };
@@ -138,8 +139,8 @@
     }
 }
 
-// The daemon that accepted a change tells others of it and then answers no fetch, which takes two
-// seconds to find out. They must not wait for that, since others have the change, too.
+// The daemon that accepted a change announces it and then answers no fetch, which takes two seconds
+// to time out. Daemons must not wait for that, since other peers have the change as well.
 Test(distribute, slowFetchIsHedged)
 {
     Cluster net{7, 8};
@@ -151,8 +152,8 @@
     }
 }
 
-// A peer says that it is ahead and has nothing usable to give. Asking it over and over would keep
-// both busy for nothing.
+// A peer announces a newer revision but returns no usable records. Fetching from it in a loop would
+// keep both daemons busy.
 Test(distribute, peerWithoutUsableRecordsIsNotQueriedInALoop)
 {
     const Endpoint address{0x0a000009, 7000};
@@ -181,8 +182,8 @@
     cr_assert(fetches == 1, "%zu fetches", fetches);
 }
 
-// A daemon has two questions to one peer. An answer names the peer only, so that with both under
-// way one could be taken for the other.
+// A daemon has two queries for one peer. A result carries only the peer's address, so with both in
+// flight their answers could be mixed up.
 Test(distribute, onePeerIsSentOneQueryAtATime)
 {
     const Endpoint address{0x0a000009, 7000};
@@ -200,14 +201,14 @@
     node.start(TimePoint{1s}, actions);
     node.handle(ControlFromPeer{address, {DaemonId{9}, Incarnation{1}, Ping{1, {peer}, {}}}},
                 TimePoint{1s}, {}, actions);
-    cr_assert(fetchesIn(actions) == 1); // For the members; the one for records waits.
+    cr_assert(fetchesIn(actions) == 1); // For the members; the query for records is queued.
     actions.clear();
     node.handle(FetchResult{records, std::nullopt}, TimePoint{1s}, {}, actions);
     cr_assert(fetchesIn(actions) == 1);
 }
 
-// A failure domain loses the platform but not the other domains. Changes go on being accepted
-// elsewhere; its daemons learn of them from the others, within ten seconds.
+// A failure domain is cut off from the platform but not from the other domains. Changes are
+// accepted elsewhere, and its daemons must learn of them from other domains within ten seconds.
 Test(distribute, domainCutFromThePlatformLearnsOfChangesFromPeers)
 {
     for (const std::size_t domain : {0, 1, 2}) {
@@ -230,9 +231,9 @@
     }
 }
 
-// A failure domain is cut off from everything for ten minutes. It serves on what it has, says how
-// old that is, and refuses nothing it can't know: its operators are told "unknown". After the cut
-// it has every change within ten seconds.
+// A failure domain is cut off from everything for ten minutes. It keeps serving its configuration
+// and reports its age; a change proposed there ends as unknown, not refused. Once the partition
+// heals, it must have every change within ten seconds.
 Test(distribute, isolatedDomainKeepsServingAndCatchesUp)
 {
     Cluster net;
@@ -258,9 +259,9 @@
     expectSound(net, "cut from all");
 }
 
-// The platform is down for minutes, and meanwhile every VM of a failure domain is replaced: one
-// after the other, or all at once, also while the other domains can't
-// be reached at first. The new daemons must get the configuration from peers.
+// The platform is down for minutes while every VM of a failure domain is replaced: one by one, all
+// at once, or all at once with the other domains unreachable at first. The new daemons must get the
+// configuration from peers.
 Test(distribute, domainReplacedWhileThePlatformIsDownGetsStateFromPeers)
 {
     enum class How { InTurn, AtOnce, AtOnceCutOff };
@@ -298,9 +299,9 @@
     }
 }
 
-// As above, and the new VMs have other addresses, which nobody outside their domain knows. They
-// find each other first, at a seed of their own; only the other seeds lead them to the
-// configuration then.
+// As above, but the new VMs have new addresses that no daemon outside their domain knows. They find
+// each other first, through a seed of their own domain; only the other seeds then lead them to the
+// configuration.
 Test(distribute, domainOfNewAddressesFindsTheOthersThroughSeeds)
 {
     Cluster net;
--- a/tests/control/quarantine_test.cpp
+++ b/tests/control/quarantine_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t CutOff = 8;
 
-/// \brief Lending's target is taken out of service in the given way while one daemon hears nothing.
-/// \return The record that gives its address to catalogue.
+/// \brief Takes lending's target out of service, by a cut before a move or by retiring and
+/// removing. \return The change that claims its address for catalogue.
 [[nodiscard]] ChangeRecord takeOutOfService(Cluster &net, bool move)
 {
     if (move) {
@@ -24,10 +24,10 @@
 
 } // namespace
 
-// A target leaves lending, and its address is wanted for catalogue. One daemon is cut off, stands
-// still or has lost its peers all the while: it still sends lending's packets to the address.
-// The claim must be refused, naming that daemon, until the daemon is back and has passed the
-// revision; or its VM is gone from the list; or ten minutes are over.
+// A target leaves lending and its address is claimed for catalogue while one daemon is cut off or
+// frozen, and so still sends lending's packets to that address. The claim must be refused, naming
+// the daemon, until it is back and has applied the revision, its VM is no longer listed, or ten
+// minutes have passed.
 Test(quarantine, addressStaysQuarantinedWhileADaemonIsCutOff)
 {
     enum class End { Returns, Unlisted, TimeOver };
@@ -40,7 +40,7 @@
                 else
                     net.cutNode(CutOff);
                 const ChangeRecord claim = takeOutOfService(net, move);
-                net.run(60s); // Long enough that its peers consider it dead.
+                net.run(60s); // Long enough for its peers to consider it dead.
                 for (const std::size_t proposer : {0, 4, 7}) {
                     const ProposalId id = net.propose(proposer, claim);
                     net.run(12s);
@@ -70,8 +70,8 @@
     }
 }
 
-// With every daemon in touch the address is free within seconds, whatever daemon is asked, and the
-// same service may have it back at once, even with a daemon cut off.
+// With every daemon reachable the address is free within seconds, whichever daemon the claim is
+// proposed at; the same service may reuse it at once, even while a daemon is cut off.
 Test(quarantine, addressIsFreeOnceEveryDaemonHasPassed)
 {
     for (const std::size_t proposer : {0, 4, 8}) {
@@ -92,7 +92,7 @@
     }
 }
 
-// The VM list can't be read: nobody can say which daemons are live, and the claim is refused.
+// While the VM list can't be read, it is unknown which daemons are live, so the claim is refused.
 Test(quarantine, addressStaysQuarantinedWhileTheVmListIsUnreadable)
 {
     Cluster net;
--- a/tests/control/random_test.cpp
+++ b/tests/control/random_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \brief One fault that begins and ends at times of its own; two of them overlap in any way.
+/// \brief A fault with a start and an end; two faults may overlap in any way.
 struct TimedFault
 {
     std::string name;
@@ -154,14 +154,14 @@
     std::uint64_t m_seed;
     std::multimap<TimePoint, std::function<void()>> m_schedule;
     std::vector<std::pair<CallKind, PlatformFault>> m_faults;
-    std::set<int> m_expected; ///< Changes asked for with an expected revision; may be refused.
+    std::set<int> m_expected; ///< Changes proposed with an expected revision; may be refused.
 };
 
 } // namespace
 
-// Two faults overlap while operators race each other at daemons drawn at random. Afterwards every
-// change that was asked for without condition is in force once, on every daemon alike, and nobody
-// was told anything that is not so.
+// Two random faults overlap while operators propose changes concurrently at random daemons.
+// Afterwards every change without an expected revision must be in force exactly once, on all
+// daemons, and every reported outcome must be true.
 Test(randomFaults, pairsFromSeeds)
 {
     for (std::uint64_t seed = 1; seed <= 150; ++seed)
--- a/tests/control/snapshot_test.cpp
+++ b/tests/control/snapshot_test.cpp
@@ -47,8 +47,9 @@
 
 } // namespace
 
-// The log is cut behind the second newest snapshot. A daemon that starts then, and one that stood
-// still all the while, must get to the newest revision, and still know the ids of old changes.
+// The log is truncated up to the second newest snapshot. A daemon that starts afterwards, and one
+// that was frozen meanwhile, must reach the newest revision and still recognise the ids of old
+// changes.
 Test(snapshot, everyDaemonReachesTheNewestRevisionAfterCompaction)
 {
     Cluster net{2, 3, smallSnapshots()};
@@ -76,7 +77,8 @@
     cr_assert(net.problems().empty(), "%s", net.problems().c_str());
 }
 
-// Every daemon of the system is replaced at once after the log was cut: only the platform is left.
+// All daemons are replaced at once after the log was truncated, so that the configuration is left
+// only on the platform.
 Test(snapshot, wholeSystemStartsFromSnapshotAndLog)
 {
     for (const bool newestDamaged : {false, true}) {
@@ -98,8 +100,8 @@
     }
 }
 
-// The daemon that writes a snapshot dies after some of its objects. What it leaves must not be
-// taken for a snapshot, and another daemon must write one.
+// The daemon that writes a snapshot is killed after some of its objects. The incomplete snapshot
+// must not be used, and another daemon must write a complete one.
 Test(snapshot, writerKilledHalfWayLeavesNothingUsable)
 {
     Cluster net{2, 3, smallSnapshots()};
--- a/tests/control/watcher_test.cpp
+++ b/tests/control/watcher_test.cpp
@@ -8,8 +8,8 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// A watch leaves out the first of two changes, and peers can't be heard. The second one shows that
-// something is missing: the watcher must read it then, not at the next list.
+// A watch skips the first of two changes, and no peer is reachable. The second change reveals the
+// gap, and the watcher must read the missing record at once instead of at the next periodic list.
 Test(watcher, skippedObjectIsReadOnceTheNextOneShowsTheGap)
 {
     Cluster net{11};
@@ -32,8 +32,8 @@
     cr_assert(watchers == 6);
 }
 
-// The watchers of a domain lose the platform, each for itself, and the domain loses the others. The
-// rest of its daemons still reach the platform and have to ask it themselves.
+// The watchers of a domain lose the platform, and the domain is cut off from the others. Its other
+// daemons still reach the platform and must read the log themselves.
 Test(watcher, daemonsReadTheLogWhereTheirWatchersCannot)
 {
     Cluster net{3, 8};
@@ -44,7 +44,7 @@
             watchers.insert(node);
     }
     cr_assert(watchers.size() == 2);
-    std::size_t lists = 0; // By the daemons that are no watchers.
+    std::size_t lists = 0; // By daemons that are not watchers.
     net.fault = [&](std::size_t node, const PlatformRequest &request) {
         if (watchers.contains(node))
             return PlatformFault::Down;
@@ -62,8 +62,8 @@
     expectSound(net, "watchers cut off");
 }
 
-// Watches fall silent once. The list finds the first change, seconds late; by the second one the
-// watches must have been replaced.
+// Every watch stalls once. The periodic list finds the first change seconds late; before the second
+// one the watches must have been replaced.
 Test(watcher, silentWatchIsReplaced)
 {
     Cluster net{11};
@@ -72,7 +72,7 @@
         const bool first = kindOf(request) == CallKind::Watch && silenced.insert(node).second;
         return first ? PlatformFault::WatchSilent : PlatformFault::None;
     };
-    net.run(21s); // By now every watch is a silent one, and has most of its wait before it.
+    net.run(21s); // By now every watch is a stalled one with most of its timeout left.
     const std::set<std::size_t> watchers = silenced;
     net.drop = [](std::size_t, std::size_t, const PeerMessage &) { return true; };
     net.accept(1, weightChange("w1", 50));
@@ -83,8 +83,8 @@
         cr_expect(net.revision(watcher) == second, "daemon %zu", watcher + 1);
 }
 
-// The platform refuses the first calls of a daemon that starts alone. It must not wait for its next
-// regular list.
+// The platform refuses the first calls of a daemon that starts alone. It must retry before its next
+// periodic list.
 Test(watcher, readAtStartIsRetried)
 {
     Cluster net{5};
@@ -100,8 +100,8 @@
     cr_assert(net.runUntil([&] { return net.revision(2) == Revision{2}; }, 3500ms));
 }
 
-// The platform refuses every call and asks to come back after 40 s. Calling on in the usual rhythm
-// would keep it overloaded.
+// The platform refuses every call with a retry-after of 40 s. Calling at the normal rate would keep
+// it overloaded.
 Test(watcher, retryAfterIsHonoured)
 {
     Cluster net{5};
@@ -112,12 +112,13 @@
     const std::uint64_t before = net.totalCalls();
     net.run(2min);
     const std::uint64_t calls = net.totalCalls() - before;
-    constexpr std::uint64_t Kinds = 4; // Watch, list, VM list, and snapshots or the start.
+    constexpr std::uint64_t Kinds = 4; // Watch, list, VM list, and snapshots or startup.
     cr_assert(calls <= net.size() * Kinds * 3, "%lu calls in three times 40 s", calls);
 }
 
-// An object of the log is damaged, or written by a newer version with a command that this one
-// lacks. Daemons stop before it, say so, and serve on; once it is repaired they go on.
+// An object of the log is damaged, or written by a newer version with a command that this one does
+// not know. Daemons must stop before it, report it and keep serving, and continue once it is
+// repaired.
 Test(watcher, daemonsStopBeforeABadRecordAndReportIt)
 {
     for (const bool unknownKind : {false, true}) {
@@ -149,8 +150,8 @@
     }
 }
 
-// What the platform is asked must not grow with the number of daemons: under changes, and while it
-// is down and every daemon has reason to look for itself.
+// The number of platform calls must not grow with the number of daemons, neither under changes nor
+// while the platform is down and every daemon has a reason to read the log itself.
 Test(watcher, platformCallsDoNotGrowWithDaemons)
 {
     for (const bool down : {false, true}) {
@@ -171,17 +172,17 @@
             counts.push_back(net.totalCalls() - before);
             expectSound(net, "calls");
         }
-        // While it is down, up to two daemons beside the watchers list in each period; with three
-        // in a domain there is one that could.
+        // While it is down, up to two daemons besides the watchers list in each period; in a domain
+        // of three only one daemon can.
         const std::uint64_t bound = down ? counts[0] * 14 / 10 : counts[0] * 11 / 10;
         cr_assert(counts[1] <= bound, "down %d: %lu calls by 9 daemons, %lu by 60", down, counts[0],
                   counts[1]);
     }
 }
 
-// All VMs of a system start in the same moment, without seeds, and the platform's list of VMs lags
-// by half a second: the first look shows each daemon an empty list. Whoever waits for a change then
-// must not be told that it is in force by a daemon that knows only itself.
+// All VMs start at the same time, without seeds, and the VM list lags by half a second, so the
+// first list is empty for every daemon. Daemons must discover each other within seconds: one that
+// knows only itself would report a change as in force everywhere.
 Test(watcher, daemonsThatStartTogetherFindEachOtherWithinSeconds)
 {
     FakeControlNet net{1, {}};
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -12,7 +12,7 @@
 
 const std::string Raml = "alx-raml";
 
-/// \brief One failure domain, and one daemon of another.
+/// \brief A failure domain whose daemons have discovered each other.
 struct Domain : FakeControlNet
 {
     explicit Domain(std::size_t size, std::uint64_t seed = 1)
@@ -30,7 +30,7 @@
         const Member *member = view->find(identity(subject).daemon);
         return member ? std::optional{member->state} : std::nullopt;
     }
-    /// \return Whether every other daemon that runs sees the subject so.
+    /// \return Whether every other running daemon sees the subject in this state.
     [[nodiscard]] bool allSee(std::size_t subject, std::optional<MemberState> state)
     {
         for (std::size_t viewer = 0; viewer < size(); ++viewer) {
@@ -61,8 +61,8 @@
     }
 }
 
-// A daemon dies. Each other one must stop counting on it within seconds, and not before it is
-// suspected for a while: a death by mistake moves its targets for nothing.
+// A daemon is killed. All others must remove it within seconds, but only after a suspicion period,
+// since a false removal moves its targets needlessly.
 Test(membership, deadDaemonIsSuspectedThenRemoved)
 {
     Domain net{40};
@@ -73,13 +73,13 @@
     cr_assert(net.now() - killed > 4s);
     cr_assert(net.now() - killed < 12s);
     net.run(30s);
-    cr_assert(net.allSee(17, std::nullopt), "it came back from a rumor or the VM list");
+    cr_assert(net.allSee(17, std::nullopt), "it was added again by a rumor or the VM list");
     net.start(17);
     cr_assert(net.runUntil([&] { return net.allSee(17, MemberState::Alive); }, 10s));
 }
 
-// A fifth of all datagrams is lost for five minutes. Indirect pings and refutation must keep
-// everybody in the view.
+// A fifth of all datagrams is lost for five minutes. Indirect pings and refutation must keep every
+// member in the views.
 Test(membership, lossAloneRemovesNobody)
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -90,7 +90,8 @@
     }
 }
 
-// One path is cut in both directions, so two daemons never hear each other directly. Others do.
+// The path between two daemons is cut in both directions; all other daemons still reach both.
+// Neither may be removed.
 Test(membership, cutBetweenTwoDaemonsRemovesNeither)
 {
     Domain net{9};
@@ -101,9 +102,9 @@
     cr_assert(net.deathsNoticed() == 0, "%zu deaths", net.deathsNoticed());
 }
 
-// A VM is moved: its network stops, and three seconds later its daemon, for a minute. By then it
-// suspects some of the others. It must not take them for dead when it goes on, since it could not
-// have read an answer, and must be back in their views at once.
+// A live migration of a VM: its network stops, and three seconds later its daemon stalls for a
+// minute, by then suspecting some other members. It must not consider them dead on resumption,
+// since it could not read their answers, and must return to their views soon.
 Test(membership, stalledDaemonSuspectsNobodyAndRejoins)
 {
     Domain net{20};
@@ -123,9 +124,9 @@
     cr_assert(net.allSee(4, MemberState::Alive));
 }
 
-// A daemon loses its network for five minutes; the others hold it dead, and it them. When the
-// network is back, both sides have to find each other, also where the platform is down, and where
-// the seed is gone as well.
+// A daemon loses its network for five minutes, so that it and the others consider each other dead.
+// Once the network is back they must find each other, even if the platform is down, and if the seed
+// is gone as well.
 Test(membership, cutOffDaemonRejoins)
 {
     for (const int gone : {0, 1, 2}) {
@@ -146,8 +147,8 @@
     }
 }
 
-// A daemon announces that it stops. It owns no targets from then on, in any view, also while it no
-// longer answers and is on its way out.
+// A daemon announces its shutdown. From then on it must own no targets in any view, not even while
+// it no longer answers and is about to be removed.
 Test(membership, leavingDaemonOwnsNothingFromItsAnnouncementOn)
 {
     Domain net{20};
@@ -172,8 +173,8 @@
     }
 }
 
-// The VM list names a VM as leaving: it owns nothing, though it has not said so itself. The list
-// lags and can be wrong for good; once it no longer says so, the daemon is back within a minute.
+// The VM list flags a VM as leaving: its daemon owns nothing, though it announced nothing itself.
+// The list lags and can stay wrong; once the flag is gone, the daemon is back within a minute.
 Test(membership, leavingFlagOfTheVmListIsAHint)
 {
     Domain net{9};
@@ -185,12 +186,12 @@
     cr_assert(net.runUntil([&] { return net.allSee(3, MemberState::Alive); }, 90s));
 }
 
-// The VM list lags: it still names a VM that is gone, and not yet one that has started.
+// The VM list lags: it still lists a VM that is gone and does not yet list one that has started.
 Test(membership, vmListAloneNeitherAddsNorRemoves)
 {
     Domain net{9};
-    net.add(Raml); // Listed, and never started.
-    net.unlist(2); // Runs, and is not listed.
+    net.add(Raml); // Listed, but not started.
+    net.unlist(2); // Running, but not listed.
     net.run(2min);
     cr_assert(net.allSee(9, std::nullopt));
     cr_assert(net.allSee(2, MemberState::Alive));
@@ -198,8 +199,8 @@
     cr_assert(net.runUntil([&] { return net.allSee(9, MemberState::Alive); }, 15s));
 }
 
-// A daemon is restarted so fast that nobody missed it. Its new incarnation replaces the old one,
-// and a suspicion of the old one does not stick to it.
+// A daemon is restarted too fast for its absence to be noticed. The new incarnation must replace
+// the old one and must not inherit a suspicion of it.
 Test(membership, newIncarnationReplacesTheOld)
 {
     Domain net{9};
