--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -69,7 +69,7 @@
     Proposer m_proposer;
     ConfigPtr m_published;
     TimePoint m_startedAt{};
-    std::optional<TimePoint> m_peerConfirmedAt; ///< Latest confirmation by a peer.
+    std::optional<TimePoint> m_peerConfirmedAt; ///< For the revision in force, by peers.
     std::optional<TimePoint> m_ageReportedAt;
 };
 
