--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -23,7 +23,7 @@
 /// Left of the time until the process is killed, to end in order.
 constexpr Duration KillMargin = 700ms;
 /// Until a call is tried again that found its client being restarted.
-constexpr Duration ClientRestart = 100ms;
+constexpr Duration ClientRetryDelay = 100ms;
 constexpr Duration ClockPeriod = 500ms;
 /// A machine that lives takes a connection within milliseconds, however busy its programs are.
 constexpr Duration ProbeTimeout = 250ms;
@@ -32,7 +32,7 @@
 constexpr Duration SettingsPeriod = 2s;
 /// A timer that is later than this, or a clock that has moved on by as much more than the other
 /// one, means that the process stood still: half of the time in which a change has to be in force.
-constexpr Duration LongestPause = 1500ms;
+constexpr Duration StallThreshold = 1500ms;
 
 [[nodiscard]] RestartPolicy withoutFailures(RestartPolicy policy) noexcept
 {
@@ -95,7 +95,7 @@
     m_network.add(ownerOf("packet socket", m_packets, [this](const FailureHandler &failed) {
         m_packets = std::make_unique<UdpSocket>(
             m_context, m_settings.addresses.packets, m_settings.sockets, m_metrics.packets,
-            [this](const Endpoint &sender, std::string_view bytes) { fromCaller(sender, bytes); },
+            [this](const Endpoint &sender, std::string_view bytes) { handlePacket(sender, bytes); },
             failed);
     }));
     m_network.add(ownerOf("store", m_store, [this](const FailureHandler &) {
@@ -136,53 +136,54 @@
 void DirectDaemon::startNode()
 {
     const PeerIdentity identity{m_settings.addresses.identity(), m_settings.domain};
-    m_node = std::make_unique<DirectNode>(identity, m_settings.node, ports(), m_seed);
+    m_node = std::make_unique<DirectNode>(identity, m_settings.node, callbacks(), m_seed);
     m_node->start(m_settings.roots);
 }
 
-DirectCallbacks DirectDaemon::ports()
+DirectCallbacks DirectDaemon::callbacks()
 {
-    DirectCallbacks ports;
-    ports.feed.now = [] { return monotonicNow(); };
-    ports.feed.after = runtime().after;
-    ports.feed.call
+    DirectCallbacks callbacks;
+    callbacks.feed.now = [] { return monotonicNow(); };
+    callbacks.feed.after = runtime().after;
+    callbacks.feed.call
         = [this](const PlatformRequest &request, std::function<void(PlatformResult)> done) {
               callStore(request, std::move(done));
           };
-    ports.peers.now = ports.feed.now;
-    ports.peers.after = ports.feed.after;
-    ports.peers.ask = [this](const Endpoint &peer, const PeerQuery &question,
-                             const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
-        askPeer(peer, question, limits, std::move(done));
-    };
-    ports.reader = platform::directoryReader();
-    ports.observer.decided = [this](const SegmentDecision &decision) {
+    callbacks.peers.now = callbacks.feed.now;
+    callbacks.peers.after = callbacks.feed.after;
+    callbacks.peers.ask
+        = [this](const Endpoint &peer, const PeerQuery &query, const QueryTimeouts &timeouts,
+                 std::function<void(PeerResult)> done) {
+              queryPeer(peer, query, timeouts, std::move(done));
+          };
+    callbacks.reader = platform::directoryReader();
+    callbacks.observer.decided = [this](const SegmentDecision &decision) {
         m_metrics.decided(decision, m_node->router().routes());
         m_log.write(decision, *m_node, monotonicNow());
     };
-    ports.observer.stateChanged
+    callbacks.observer.stateChanged
         = [this](const TargetStateChange &change) { m_log.write(change, *m_node, monotonicNow()); };
-    ports.observer.saturated
+    callbacks.observer.saturated
         = [this](const SaturationChange &change) { m_log.write(change, *m_node, monotonicNow()); };
-    ports.observer.measured = [this](const FlowMeasurement &measured) {
+    callbacks.observer.measured = [this](const FlowMeasurement &measured) {
         m_metrics.measured(measured, m_node->router().routes());
         m_log.write(measured, *m_node, monotonicNow());
     };
-    ports.onNotice = [this](const NodeNotice &notice) {
+    callbacks.onNotice = [this](const NodeNotice &notice) {
         m_metrics.objectsRefused += std::holds_alternative<ObjectRefused>(notice);
-        m_metrics.stoodStill += std::holds_alternative<ProcessStalled>(notice);
-        if (const auto *asked = std::get_if<PeerQueryEnded>(&notice))
-            m_metrics.asked(*asked);
+        m_metrics.processStalls += std::holds_alternative<ProcessStalled>(notice);
+        if (const auto *queryEnded = std::get_if<PeerQueryEnded>(&notice))
+            m_metrics.queryEnded(*queryEnded);
         m_log.write(notice, monotonicNow());
     };
-    ports.probe = [this](const Endpoint &target, std::function<void(ProbeOutcome)> done) {
+    callbacks.probe = [this](const Endpoint &target, std::function<void(ProbeOutcome)> done) {
         probeTarget(target, std::move(done));
     };
-    ports.ready = [this] { m_log.ready(*m_node); };
-    ports.applyVerdict
+    callbacks.ready = [this] { m_log.ready(*m_node); };
+    callbacks.applyVerdict
         = [this](const Segment &segment, const std::string &payload,
-                 const SegmentVerdict &verdict) { carry(segment, payload, verdict); };
-    return ports;
+                 const SegmentVerdict &verdict) { applyVerdict(segment, payload, verdict); };
+    return callbacks;
 }
 
 void DirectDaemon::callStore(const PlatformRequest &request,
@@ -190,7 +191,7 @@
 {
     if (!m_store) {
         // The client is being restarted; its children start one after the other.
-        runtime().after(ClientRestart, [this, request, done = std::move(done)]() mutable {
+        runtime().after(ClientRetryDelay, [this, request, done = std::move(done)]() mutable {
             callStore(request, std::move(done));
         });
         return;
@@ -202,19 +203,19 @@
                   });
 }
 
-void DirectDaemon::askPeer(const Endpoint &peer, const PeerQuery &question,
-                           const QueryTimeouts &limits, std::function<void(PeerResult)> done)
+void DirectDaemon::queryPeer(const Endpoint &peer, const PeerQuery &query,
+                             const QueryTimeouts &timeouts, std::function<void(PeerResult)> done)
 {
     if (!m_peers) {
-        runtime().after(ClientRestart, [done = std::move(done)] {
+        runtime().after(ClientRetryDelay, [done = std::move(done)] {
             done({{}, 0, "the client is restarted"});
         });
         return;
     }
-    HttpCall call = peerCall(peer, question, limits);
+    HttpCall call = peerCall(peer, query, timeouts);
     m_peers->call(std::move(call), [this, done = std::move(done)](const HttpResult &result) {
         PeerResult read = peerResult(result);
-        ++(read.reply ? m_metrics.onPeersAnswered : m_metrics.peersFailed);
+        ++(read.reply ? m_metrics.peerQueriesAnswered : m_metrics.peerQueriesFailed);
         done(std::move(read));
     });
 }
@@ -238,20 +239,20 @@
 
 void DirectDaemon::answerPeer(const HttpRequest &request, const HttpServer::Respond &respond)
 {
-    const auto question = peerQuestion(request);
-    if (!question || !m_node) {
+    const auto query = parsePeerQuery(request);
+    if (!query || !m_node) {
         respond({400, "text/plain", "not a question about the directory\n"});
         return;
     }
-    m_node->handle(*question, [this, request, respond](const PeerReply &reply) {
+    m_node->handle(*query, [this, request, respond](const PeerReply &reply) {
         HttpReply answer = peerResponse(request, reply);
-        ++m_metrics.peersServed;
+        ++m_metrics.peerQueriesServed;
         m_metrics.peerBytesServed += answer.body.size();
         respond(std::move(answer));
     });
 }
 
-void DirectDaemon::fromCaller(const Endpoint &sender, std::string_view bytes)
+void DirectDaemon::handlePacket(const Endpoint &sender, std::string_view bytes)
 {
     const platform::ReadPacket packet = platform::readPacket(bytes);
     if (packet.error != platform::PacketError::None) {
@@ -260,13 +261,13 @@
         return;
     }
     if (const auto verdict = m_node->handle(packet.segment, bytes))
-        carry(packet.segment, bytes, *verdict);
+        applyVerdict(packet.segment, bytes, *verdict);
     else
         ++m_metrics.packetsDelayed;
 }
 
-void DirectDaemon::carry(const Segment &segment, std::string_view bytes,
-                         const SegmentVerdict &verdict)
+void DirectDaemon::applyVerdict(const Segment &segment, std::string_view bytes,
+                                const SegmentVerdict &verdict)
 {
     if (!m_packets)
         return; // The socket is being restarted: a loss in the network, as it looks to both ends.
@@ -320,7 +321,7 @@
         const Duration late = monotonicNow() - steady - ClockPeriod;
         const Duration suspended = (bootNow() - boot) - (monotonicNow() - steady);
         const Duration gap = std::max(late, suspended);
-        if (gap >= LongestPause && m_node)
+        if (gap >= StallThreshold && m_node)
             m_node->processStalled(gap);
         watchClocks();
     });
--- a/src/daemon/direct/direct_daemon.h
+++ b/src/daemon/direct/direct_daemon.h
@@ -53,12 +53,13 @@
     void watchClocks();
     void watchSettings();
 
-    void fromCaller(const Endpoint &sender, std::string_view bytes);
-    void carry(const Segment &segment, std::string_view bytes, const SegmentVerdict &verdict);
-    [[nodiscard]] DirectCallbacks ports();
+    void handlePacket(const Endpoint &sender, std::string_view bytes);
+    void applyVerdict(const Segment &segment, std::string_view bytes,
+                      const SegmentVerdict &verdict);
+    [[nodiscard]] DirectCallbacks callbacks();
     void callStore(const PlatformRequest &request, std::function<void(PlatformResult)> done);
-    void askPeer(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits,
-                 std::function<void(PeerResult)> done);
+    void queryPeer(const Endpoint &peer, const PeerQuery &query, const QueryTimeouts &timeouts,
+                   std::function<void(PeerResult)> done);
     void probeTarget(const Endpoint &target, std::function<void(ProbeOutcome)> done);
     void answerPeer(const HttpRequest &request, const HttpServer::Respond &respond);
     [[nodiscard]] HttpReply readiness(const HttpRequest &request) const;
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -21,7 +21,7 @@
 }
 
 /// An answer is worth a line from this time on, where it took much longer than the target's others.
-constexpr Duration LeastSlowAnswer = 100ms;
+constexpr Duration MinSlowAnswer = 100ms;
 constexpr int SlowFactor = 3;
 
 /// \brief Adds the flow's id: both ends, as its caller sees them.
@@ -271,7 +271,7 @@
         });
         return;
     }
-    if (measured.time != FlowTime::Answer || measured.took < LeastSlowAnswer
+    if (measured.time != FlowTime::Answer || measured.took < MinSlowAnswer
         || measured.took < SlowFactor * measured.average)
         return;
     constexpr std::string_view kind = "slow_answer";
@@ -321,12 +321,12 @@
     constexpr std::array<std::string_view, std::variant_size_v<NodeNotice>> kinds{
         "routes_in_force", "object_refused", "store_contact", "peer_contact", "history_lost",
         "waiting_full",    "stood_still",    "peer_question", "turning_away", "domain_evacuated"};
-    const auto *asked = std::get_if<PeerQueryEnded>(&notice);
-    if (asked)
-        writeSearch(asked->end, now);
-    if (asked && isCountedOnly(asked->end))
+    const auto *queryEnded = std::get_if<PeerQueryEnded>(&notice);
+    if (queryEnded)
+        writeSearch(queryEnded->end, now);
+    if (queryEnded && isCountedOnly(queryEnded->end))
         return;
-    admit(Part::Daemon, asked ? kindOf(asked->end.outcome) : kinds[notice.index()], now,
+    admit(Part::Daemon, queryEnded ? kindOf(queryEnded->end.outcome) : kinds[notice.index()], now,
           [&] { return std::visit(NoticeLine{}, notice); });
 }
 
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 /// Services with entries of their own; each has two histograms of about 2 KB.
-constexpr std::size_t MostServices = 64;
+constexpr std::size_t MaxServices = 64;
 /// Saturated targets with a sample of their own, of about 60 bytes.
-constexpr std::size_t MostWindows = 256;
+constexpr std::size_t MaxWindows = 256;
 constexpr std::string_view OtherService = "other";
 constexpr std::string_view NoService = "none";
 
@@ -28,7 +28,7 @@
     const auto known = m_services.find(wanted);
     if (known != m_services.end())
         return known->second;
-    return m_services[std::string{m_services.size() < MostServices ? wanted : OtherService}];
+    return m_services[std::string{m_services.size() < MaxServices ? wanted : OtherService}];
 }
 
 void DirectMetrics::decided(const SegmentDecision &decision, const RouteTable &routes)
@@ -42,14 +42,14 @@
     service.times[static_cast<std::size_t>(measured.time)].add(measured.took);
 }
 
-void DirectMetrics::asked(const PeerQueryEnded &asked)
+void DirectMetrics::queryEnded(const PeerQueryEnded &queryEnded)
 {
-    const QueryReport &end = asked.end;
+    const QueryReport &end = queryEnded.end;
     const auto outcome = static_cast<std::size_t>(end.outcome);
-    ++m_questions.ends[outcome];
-    m_questions.bytes[outcome] += end.bytes;
+    ++m_peerQueries.outcomes[outcome];
+    m_peerQueries.bytes[outcome] += end.bytes;
     if (end.outcome == QueryOutcome::Applied && end.took > end.wait)
-        m_questions.answers.add(end.took - end.wait);
+        m_peerQueries.answerTimes.add(end.took - end.wait);
 }
 
 std::string DirectMetrics::page(const DirectNode &node, const HttpConnections &peers,
@@ -61,7 +61,7 @@
     writeEvents(page, logLinesLeftOut);
     writeServices(page);
     writeSocket(page);
-    writeQuestions(page);
+    writePeerQueries(page);
     page.family("baobabtrail_store_calls_total", "counter", "Calls to the store, by result.");
     for (std::size_t call = 0; call < PlatformCallNames.size(); ++call) {
         for (std::size_t result = 0; result < PlatformResultNames.size(); ++result) {
@@ -89,12 +89,12 @@
                  std::chrono::duration<double>(*age).count());
     writeOne(page, "baobabtrail_flows", "gauge", "Flows whose load is counted.",
              number(node.router().flows()));
-    CounterArray<TargetBeliefNames.size()> beliefs{};
+    CounterArray<TargetStateNames.size()> states{};
     for (const auto &[id, target] : node.router().targets().all())
-        ++beliefs[static_cast<std::size_t>(node.router().targets().state(target))];
+        ++states[static_cast<std::size_t>(node.router().targets().state(target))];
     page.family("baobabtrail_targets", "gauge", "Targets, by what is believed of them.");
-    for (std::size_t index = 0; index < beliefs.size(); ++index)
-        page.sample({{"belief", TargetBeliefNames[index]}}, number(beliefs[index]));
+    for (std::size_t index = 0; index < states.size(); ++index)
+        page.sample({{"belief", TargetStateNames[index]}}, number(states[index]));
     writeDomains(page, node);
     writeOverload(page, node);
 }
@@ -144,7 +144,7 @@
     std::size_t written = 0;
     for (const auto &[id, target] : node.router().targets().all()) {
         const TargetWindow *window = gate.window(id);
-        if (!window || !window->limited() || ++written > MostWindows)
+        if (!window || !window->limited() || ++written > MaxWindows)
             continue;
         page.sample({{"target", target.entry.name}}, window->size());
     }
@@ -159,11 +159,11 @@
     event("packet_refused", packetsRefused);
     event("object_refused", objectsRefused);
     event("log_line_left_out", logLinesLeftOut);
-    event("stood_still", stoodStill);
+    event("stood_still", processStalls);
     event("packet_delayed", packetsDelayed);
-    event("peer_answered", onPeersAnswered);
-    event("peer_failed", peersFailed);
-    event("peer_served", peersServed);
+    event("peer_answered", peerQueriesAnswered);
+    event("peer_failed", peerQueriesFailed);
+    event("peer_served", peerQueriesServed);
     page.family("baobabtrail_probes_total", "counter",
                 "Connections that were tried to targets that left a flow without a sign.");
     for (std::size_t index = 0; index < ProbeOutcomeNames.size(); ++index)
@@ -186,23 +186,23 @@
     }
 }
 
-void DirectMetrics::writeQuestions(Exposition &page) const
+void DirectMetrics::writePeerQueries(Exposition &page) const
 {
     const auto write = [&](std::string_view name, std::string_view help, auto member) {
         page.family(name, "counter", help);
-        for (std::size_t index = 0; index < QuestionOutcomeNames.size(); ++index)
-            page.sample({{"outcome", QuestionOutcomeNames[index]}},
-                        static_cast<double>((m_questions.*member)[index]));
+        for (std::size_t index = 0; index < QueryOutcomeNames.size(); ++index)
+            page.sample({{"outcome", QueryOutcomeNames[index]}},
+                        static_cast<double>((m_peerQueries.*member)[index]));
     };
     write("baobabtrail_peer_questions_total", "Questions to other daemons, by how they ended.",
-          &Questions::ends);
+          &PeerQueries::outcomes);
     write("baobabtrail_peer_answer_bytes_total", "Bytes received of their answers.",
-          &Questions::bytes);
+          &PeerQueries::bytes);
     writeOne(page, "baobabtrail_peer_served_bytes_total", "counter",
              "Bytes of answers to other daemons.", static_cast<double>(peerBytesServed));
     page.family("baobabtrail_peer_answer_seconds", "histogram",
                 "Of answers that were taken, beyond the wait that was allowed.");
-    m_questions.answers.write(page, {});
+    m_peerQueries.answerTimes.write(page, {});
 }
 
 void DirectMetrics::writeSocket(Exposition &page) const
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -18,7 +18,7 @@
     "no_route",      "stale_view", "no_target",     "route_removed", "target_gone",
     "unknown_label", "held",       "absorbed",      "given_up"};
 /// Names of DirectTargetState.
-inline constexpr std::array<std::string_view, 7> TargetBeliefNames{
+inline constexpr std::array<std::string_view, 7> TargetStateNames{
     "trusted", "suspect", "draining", "evacuated", "lapsed", "gone", "refused"};
 /// Names of FlowTime.
 inline constexpr std::array<std::string_view, 3> FlowTimeNames{"open", "answer", "held"};
@@ -28,12 +28,12 @@
                                                                    "unsure"};
 
 /// Names of QueryOutcome.
-inline constexpr std::array<std::string_view, 7> QuestionOutcomeNames{
+inline constexpr std::array<std::string_view, 7> QueryOutcomeNames{
     "taken", "stale", "blank", "redirected", "refused", "misfit", "unanswered"};
 
 [[nodiscard]] constexpr std::string_view nameOf(QueryOutcome outcome) noexcept
 {
-    return QuestionOutcomeNames[static_cast<std::size_t>(outcome)];
+    return QueryOutcomeNames[static_cast<std::size_t>(outcome)];
 }
 [[nodiscard]] constexpr std::string_view nameOf(SegmentCause cause) noexcept
 {
@@ -41,7 +41,7 @@
 }
 [[nodiscard]] constexpr std::string_view nameOf(DirectTargetState state) noexcept
 {
-    return TargetBeliefNames[static_cast<std::size_t>(state)];
+    return TargetStateNames[static_cast<std::size_t>(state)];
 }
 
 /// \brief Counters and histograms of a daemon whose targets answer directly.
@@ -52,7 +52,7 @@
 public:
     void decided(const SegmentDecision &decision, const RouteTable &routes);
     void measured(const FlowMeasurement &measured, const RouteTable &routes);
-    void asked(const PeerQueryEnded &asked);
+    void queryEnded(const PeerQueryEnded &queryEnded);
 
     /// \return The metrics page. \param peers Connections of other daemons.
     /// \param logLinesLeftOut So far.
@@ -62,12 +62,12 @@
     SocketCounters packets;
     std::uint64_t packetsRefused = 0; ///< Datagrams that are no packets.
     std::uint64_t objectsRefused = 0; ///< Objects of the store that can't be used.
-    std::uint64_t stoodStill = 0;
-    std::uint64_t packetsDelayed = 0;  ///< Waited for the directory.
-    std::uint64_t onPeersAnswered = 0; ///< Questions of this daemon.
-    std::uint64_t peersFailed = 0;
-    std::uint64_t peersServed = 0;     ///< Questions of others.
-    std::uint64_t peerBytesServed = 0; ///< Bodies of the answers.
+    std::uint64_t processStalls = 0;
+    std::uint64_t packetsDelayed = 0;      ///< Waited for the directory.
+    std::uint64_t peerQueriesAnswered = 0; ///< Questions of this daemon.
+    std::uint64_t peerQueriesFailed = 0;
+    std::uint64_t peerQueriesServed = 0; ///< Questions of others.
+    std::uint64_t peerBytesServed = 0;   ///< Bodies of the answers.
     CounterArray<ProbeOutcomeNames.size()> probes{};
     std::array<CounterArray<PlatformResultNames.size()>, PlatformCallNames.size()> storeCalls{};
 
@@ -84,20 +84,20 @@
     static void writeOverload(Exposition &page, const DirectNode &node);
     void writeEvents(Exposition &page, std::uint64_t logLinesLeftOut) const;
     void writeServices(Exposition &page) const;
-    void writeQuestions(Exposition &page) const;
+    void writePeerQueries(Exposition &page) const;
     static void writeTree(Exposition &page, const DirectNode &node, const HttpConnections &peers);
     void writeSocket(Exposition &page) const;
 
     /// \brief Questions to other daemons.
-    struct Questions
+    struct PeerQueries
     {
-        CounterArray<QuestionOutcomeNames.size()> ends{};
-        CounterArray<QuestionOutcomeNames.size()> bytes{};
-        DurationHistogram answers; ///< Beyond the wait; of answers that were taken.
+        CounterArray<QueryOutcomeNames.size()> outcomes{};
+        CounterArray<QueryOutcomeNames.size()> bytes{};
+        DurationHistogram answerTimes; ///< Beyond the wait; of answers that were taken.
     };
 
     std::map<std::string, Service, std::less<>> m_services;
-    Questions m_questions;
+    PeerQueries m_peerQueries;
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/direct/direct_tables.cpp
+++ b/src/daemon/direct/direct_tables.cpp
@@ -39,7 +39,7 @@
     return found == names.end() ? NotKnown : found->second;
 }
 
-[[nodiscard]] bool leaves(DirectTargetState state) noexcept
+[[nodiscard]] bool isLeaving(DirectTargetState state) noexcept
 {
     return state == DirectTargetState::Draining || state == DirectTargetState::Evacuated
            || state == DirectTargetState::Lapsed || state == DirectTargetState::Gone
@@ -67,7 +67,7 @@
     std::map<std::string, Row> sorted;
     for (const auto &[id, target] : node.router().targets().all()) {
         const DirectTargetState state = node.router().targets().state(target);
-        if (leavingOnly && !leaves(state))
+        if (leavingOnly && !isLeaving(state))
             continue;
         const std::string service = serviceName(node, target.entry.service);
         const Duration answer{static_cast<Duration::rep>(target.answerMicros)};
@@ -97,7 +97,7 @@
     const RouteTable &routes = backend.node->router().routes();
     std::map<ServiceId, std::size_t> routesOf;
     std::map<ServiceId, std::size_t> targetsOf;
-    std::map<ServiceId, std::size_t> trustedOf;
+    std::map<ServiceId, std::size_t> healthyOf;
     for (const auto &[address, route] : routes.routes) {
         for (const RouteShare &share : route.shares)
             ++routesOf[share.service];
@@ -105,13 +105,13 @@
     const DirectTargets &targets = backend.node->router().targets();
     for (const auto &[id, target] : targets.all()) {
         ++targetsOf[target.entry.service];
-        trustedOf[target.entry.service] += targets.state(target) == DirectTargetState::Healthy;
+        healthyOf[target.entry.service] += targets.state(target) == DirectTargetState::Healthy;
     }
     Result result;
     result.columns = {"service", "routes", "targets", "trusted"};
     for (const auto &[service, name] : routes.serviceNames)
         result.rows.push_back(
-            {name, text(routesOf[service]), text(targetsOf[service]), text(trustedOf[service])});
+            {name, text(routesOf[service]), text(targetsOf[service]), text(healthyOf[service])});
     return result;
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// \return Why the daemon's view may be old.
-[[nodiscard]] std::string lateWhy(const DirectNode &node)
+[[nodiscard]] std::string staleReason(const DirectNode &node)
 {
     if (node.fresh())
         return NotKnown;
@@ -171,7 +171,7 @@
                                text(each.objects), each.age ? milliseconds(*each.age) : NotKnown,
                                each.storeConnected ? "store" : source, text(depth),
                                text(node.relay().followers()), text(node.relay().redirected()),
-                               lateWhy(node)});
+                               staleReason(node)});
     }
     return result;
 }
--- a/src/daemon/direct/peer_http.cpp
+++ b/src/daemon/direct/peer_http.cpp
@@ -20,17 +20,17 @@
 
 } // namespace
 
-HttpCall peerCall(const Endpoint &peer, const PeerQuery &question, const QueryTimeouts &limits)
+HttpCall peerCall(const Endpoint &peer, const PeerQuery &query, const QueryTimeouts &timeouts)
 {
     HttpCall call;
     call.server = peer;
     call.request = HttpClientRequest{http::verb::post, wire::ViewPath, HttpVersion};
     call.request.set(http::field::accept_encoding, wire::PackedCoding);
-    call.request.body() = wire::toJson(question);
+    call.request.body() = wire::toJson(query);
     call.request.prepare_payload();
-    call.connectTimeout = limits.connect;
-    call.timeout = limits.firstByte;
-    call.longest = limits.total;
+    call.connectTimeout = timeouts.connect;
+    call.timeout = timeouts.firstByte;
+    call.longest = timeouts.total;
     call.repeatable = true;
     return call;
 }
@@ -49,7 +49,7 @@
     return body ? readAnswer(*body, bytes) : PeerResult{{}, bytes, "the answer can't be unpacked"};
 }
 
-std::optional<PeerQuery> peerQuestion(const HttpRequest &request)
+std::optional<PeerQuery> parsePeerQuery(const HttpRequest &request)
 {
     return request.path == wire::ViewPath ? wire::parseQuestion(request.body) : std::nullopt;
 }
--- a/src/daemon/direct/peer_http.h
+++ b/src/daemon/direct/peer_http.h
@@ -10,13 +10,13 @@
 namespace baobabtrail::daemon {
 
 /// \return The call that asks another daemon.
-[[nodiscard]] HttpCall peerCall(const Endpoint &peer, const PeerQuery &question,
-                                const QueryTimeouts &limits);
+[[nodiscard]] HttpCall peerCall(const Endpoint &peer, const PeerQuery &query,
+                                const QueryTimeouts &timeouts);
 /// \return What that call brought.
 [[nodiscard]] PeerResult peerResult(const HttpResult &result);
 
 /// \return The question that a request asks, or nothing where it asks none.
-[[nodiscard]] std::optional<PeerQuery> peerQuestion(const HttpRequest &request);
+[[nodiscard]] std::optional<PeerQuery> parsePeerQuery(const HttpRequest &request);
 /// \return The response to that request.
 [[nodiscard]] HttpReply peerResponse(const HttpRequest &request, const PeerReply &reply);
 
