--- a/src/daemon/log/line_output.cpp
+++ b/src/daemon/log/line_output.cpp
@@ -17,9 +17,9 @@
 using std::chrono::milliseconds;
 
 /// A reader that is merely busy takes a full pipe within this.
-constexpr auto LastMoment = 300ms;
+constexpr auto ShutdownTimeout = 300ms;
 /// Between two looks whether the process is about to end.
-constexpr auto Look = 50ms;
+constexpr auto PollInterval = 50ms;
 
 } // namespace
 
@@ -30,27 +30,28 @@
     while (!left.empty()) {
         if (!waitForRoom())
             return;
-        const std::size_t most = std::min<std::size_t>(left.size(), PIPE_BUF);
-        const ssize_t written = ::write(m_descriptor, left.data(), most);
+        const std::size_t chunk = std::min<std::size_t>(left.size(), PIPE_BUF);
+        const ssize_t written = ::write(m_descriptor, left.data(), chunk);
         if (written < 0 && errno != EINTR)
             return; // The reader is gone.
         left.remove_prefix(written > 0 ? static_cast<std::size_t>(written) : 0);
     }
 }
 
-void LineOutput::end() noexcept
+void LineOutput::startShutdown() noexcept
 {
-    m_until = Clock::now() + LastMoment;
+    m_deadline = Clock::now() + ShutdownTimeout;
 }
 
 bool LineOutput::waitForRoom() const noexcept
 {
     pollfd output{m_descriptor, POLLOUT, 0};
     for (;;) {
-        const auto wait = std::clamp<Clock::duration>(m_until.load() - Clock::now(), 0ms, Look);
+        const auto wait
+            = std::clamp<Clock::duration>(m_deadline.load() - Clock::now(), 0ms, PollInterval);
         if (::poll(&output, 1, static_cast<int>(duration_cast<milliseconds>(wait).count())) != 0)
             return true;
-        if (Clock::now() >= m_until.load())
+        if (Clock::now() >= m_deadline.load())
             return false;
     }
 }
--- a/src/daemon/log/line_output.h
+++ b/src/daemon/log/line_output.h
@@ -35,7 +35,7 @@
     [[nodiscard]] bool waitForRoom() const noexcept;
 
     int m_descriptor;
-    std::atomic<Clock::time_point> m_until{Clock::time_point::max()};
+    std::atomic<Clock::time_point> m_deadline{Clock::time_point::max()};
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/log/log.cpp
+++ b/src/daemon/log/log.cpp
@@ -25,10 +25,9 @@
 
 namespace logging = boost::log;
 
-constexpr std::size_t MostWaitingLines = 1000;
+constexpr std::size_t MaxQueuedLines = 1000;
 
-using Queue
-    = logging::sinks::bounded_fifo_queue<MostWaitingLines, logging::sinks::drop_on_overflow>;
+using Queue = logging::sinks::bounded_fifo_queue<MaxQueuedLines, logging::sinks::drop_on_overflow>;
 using Frontend = logging::sinks::asynchronous_sink<LineOutput, Queue>;
 using Logger = logging::sources::severity_logger<Severity>;
 
@@ -77,7 +76,7 @@
 LogSession::~LogSession()
 {
     logging::core::get()->remove_sink(m_sink->frontend);
-    m_sink->output->end();
+    m_sink->output->startShutdown();
     m_sink->frontend->stop();
     m_sink->frontend->flush();
 }
--- a/src/daemon/log/log_limiter.cpp
+++ b/src/daemon/log/log_limiter.cpp
@@ -8,7 +8,7 @@
 
 // Texts that hold something of a caller's choosing must not grow the table: beyond this many
 // kinds, the rest of a part counts as one.
-constexpr std::size_t MostKinds = 512;
+constexpr std::size_t MaxKinds = 512;
 
 [[nodiscard]] std::string kindOf(Part part, std::string_view text)
 {
@@ -25,7 +25,7 @@
 std::optional<std::uint64_t> LogLimiter::admit(Part part, std::string_view text, TimePoint now)
 {
     std::string name = kindOf(part, text);
-    if (m_kinds.size() >= MostKinds && !m_kinds.contains(name))
+    if (m_kinds.size() >= MaxKinds && !m_kinds.contains(name))
         name = kindOf(part, {});
 
     Kind &kind = m_kinds[std::move(name)];
--- a/tests/daemon/line_output_test.cpp
+++ b/tests/daemon/line_output_test.cpp
@@ -65,13 +65,13 @@
 
 // Guards against an end of the process that waits for a reader that has stopped, once for each
 // line.
-Test(lineOutput, theReaderHasOneMomentForAllLinesAtTheEnd, .timeout = 30)
+Test(lineOutput, allLinesAtShutdownShareOneTimeout, .timeout = 30)
 {
     Pipe pipe;
     LineOutput output{pipe.ends[1]};
     const std::string line(1000, 'x');
     const auto began = std::chrono::steady_clock::now();
-    output.end();
+    output.startShutdown();
     for (int count = 0; count < 1000; ++count)
         output.consume({}, line);
     cr_assert_lt(std::chrono::steady_clock::now() - began, 2s);
