--- a/src/daemon/log/line_output.h
+++ b/src/daemon/log/line_output.h
@@ -27,7 +27,7 @@
     /// \brief Writes one line; drops it where the process ends and the reader takes no more.
     void consume(const boost::log::record_view &record, const std::string &line);
     /// \brief The process is about to end: the reader has a moment left. From any thread.
-    void end() noexcept;
+    void startShutdown() noexcept;
 
 private:
     using Clock = std::chrono::steady_clock;
