--- a/src/daemon/metrics/duration_histogram.cpp
+++ b/src/daemon/metrics/duration_histogram.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr unsigned BucketCount = 24; // four for each power of ten
-constexpr double LeastSeconds = 1e-4;
-constexpr double MostSeconds = 1e2;
+constexpr double MinSeconds = 1e-4;
+constexpr double MaxSeconds = 1e2;
 
 [[nodiscard]] double seconds(Duration duration) noexcept
 {
@@ -25,7 +25,7 @@
 } // namespace
 
 DurationHistogram::DurationHistogram()
-    : m_buckets(std::make_tuple(LogAxis{BucketCount, LeastSeconds, MostSeconds}))
+    : m_buckets(std::make_tuple(LogAxis{BucketCount, MinSeconds, MaxSeconds}))
     , m_summary(boost::accumulators::extended_p_square_probabilities = Quantiles)
 {
 }
