--- a/tests/direct-system/direct_system_test.cpp
+++ b/tests/direct-system/direct_system_test.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::size_t LogFillingRounds = 10;
-constexpr std::size_t LogFillingAsks = 20; ///< Of each caller and round.
-constexpr std::size_t LogFillingRequests = LogFillingRounds * LogFillingAsks * Callers;
+constexpr std::size_t LogFillingRequestsPerRound = 20; ///< Of each caller and round.
+constexpr std::size_t LogFillingRequests = LogFillingRounds * LogFillingRequestsPerRound * Callers;
 
 /// \brief Has so many flows placed that the lines about them are more than a pipe holds.
 void fillLogs(World &world)
 {
     for (std::size_t round = 0; round < LogFillingRounds; ++round) {
         for (const auto &caller : world.callers()) {
-            for (std::size_t ask = 0; ask < LogFillingAsks; ++ask)
+            for (std::size_t ask = 0; ask < LogFillingRequestsPerRound; ++ask)
                 caller->ask(World::routeOf(0), "lending");
         }
         world.run(150ms);
@@ -32,7 +32,7 @@
 
 // A feed is open; its daemon is asked to stop, and later another one is killed.
 // The stop ends in order, no flow breaks, and callers are served all the while.
-Test(directSystem, feedsLiveThroughAStopAndAKill)
+Test(directSystem, feedsSurviveAStopAndAKill)
 {
     DirectSystem system;
     World &world = system.world;
@@ -103,7 +103,7 @@
 {
     constexpr int first = 2;
     constexpr int last = 120;
-    constexpr double mostBytes = 200'000;
+    constexpr double maxBytes = 200'000;
     DirectSystem system;
     World &world = system.world;
     for (int number = first; number <= last; ++number)
@@ -119,7 +119,7 @@
         const double bytes = sample(index, "baobabtrail_peer_answer_bytes_total{"
                                            "outcome=\"taken\"}");
         cr_assert_geq(bytes, 0);
-        cr_assert_leq(bytes, mostBytes, "daemon %zu: %.0f bytes", index, bytes);
+        cr_assert_leq(bytes, maxBytes, "daemon %zu: %.0f bytes", index, bytes);
     }
     cr_assert_eq(system.askAll(), 2 * Callers);
     system.expectSound();
@@ -128,7 +128,7 @@
 // The store moves to another address. Every daemon's settings file says so, and no daemon is
 // signalled. A route that is added afterwards has to be served: daemons that kept to the old
 // address would never hear of it.
-Test(directSystem, settingsThatChangeWithoutASignalAreTaken)
+Test(directSystem, changedSettingsApplyWithoutASignal)
 {
     DirectSystem system;
     World &world = system.world;
@@ -182,7 +182,7 @@
 }
 
 // Guards against a daemon that never ends, because nobody reads what it prints any more.
-Test(directSystem, aLogReaderThatHasStoppedHoldsUpNoStop, .timeout = 60)
+Test(directSystem, aLogReaderThatHasStoppedDelaysNoStop, .timeout = 60)
 {
     DirectSystem system{Process::Output::Unread};
     fillLogs(system.world);
@@ -204,7 +204,7 @@
 
 // A target crashes, and its address goes to a target of the other service, which must never run
 // a request that was meant for the first.
-Test(directSystem, aReusedAddressTakesNothingOfItsPredecessor)
+Test(directSystem, aReusedAddressGetsNoRequestOfItsPredecessor)
 {
     DirectSystem system;
     World &world = system.world;
