--- a/src/daemon/direct/direct_daemon.h
+++ b/src/daemon/direct/direct_daemon.h
@@ -20,27 +20,28 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief A daemon whose targets answer callers directly: its parts, below a tree of supervisors,
-/// on one thread.
+/// \brief The process of direct forwarding (direct server return): owns all components, under a
+/// supervision tree, on one thread.
 ///
 ///     daemon
 ///     ├── network   packet socket, store client, peer client
 ///     ├── node      directory and router
-///     ├── http      readiness, metrics, questions of other daemons
-///     ├── clocks    notices when the process stood still
-///     ├── settings  notices when the file has changed
+///     ├── http      readiness, metrics, queries of other daemons
+///     ├── clocks    detects that the process stalled
+///     ├── settings  detects that the settings file has changed
 ///     └── signals
 class DirectDaemon
 {
 public:
-    /// \param file Read again on SIGHUP and where it changes. \param seed Seed of every random
-    /// choice.
+    /// \param file Reloaded on SIGHUP and when it changes.
+    /// \param seed Seed of every random choice.
     DirectDaemon(DirectDaemonSettings settings, SettingsFile file, std::uint64_t seed);
     ~DirectDaemon();
     DirectDaemon(const DirectDaemon &) = delete;
     DirectDaemon &operator=(const DirectDaemon &) = delete;
 
-    /// \brief Runs until a signal has stopped the daemon or its root supervisor has given up.
+    /// \brief Runs until a signal stops the daemon or its root supervisor gives up.
+    /// \return The exit status of the process.
     [[nodiscard]] ExitStatus run();
 
 private:
--- a/src/daemon/direct/direct_log.h
+++ b/src/daemon/direct/direct_log.h
@@ -11,47 +11,55 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Writes what a DirectNode decides and believes, a bounded number of lines of each kind.
+/// \brief Logs the decisions of a DirectNode and the state changes of its targets, with a rate
+/// limit for each kind of event.
 ///
-/// A line names the flow by both of its ends and the caller's first sequence number, the target
-/// with the inputs that decided, and the age and version of the view.
+/// An event identifies the flow by both of its endpoints and the caller's first sequence number. It
+/// also holds the target with the inputs of the decision, and the age and version of the view.
 class DirectLog
 {
 public:
     using Out = std::function<void(const LogEvent &)>;
 
-    /// \param out Takes each line; standard output unless told otherwise.
+    /// \param linesPerSecond Limit for each kind of event.
+    /// \param out Called with each event; by default it is written to standard output.
     explicit DirectLog(std::uint32_t linesPerSecond, Out out = writeEvent)
         : m_limiter(linesPerSecond)
         , m_out(std::move(out))
     {
     }
 
-    /// \brief The process has started. \param store Address of the platform's store.
+    /// \brief Logs that the process has started.
+    /// \param packets Where callers' packets are received.
+    /// \param store Address of the platform's store.
     void started(const std::string &name, const std::string &domain, const Endpoint &packets,
                  const Endpoint &store, const Mechanisms &mechanisms = {});
-    /// \brief The directory is complete; traffic is taken from now on.
+    /// \brief Logs that the directory is complete, so that traffic is accepted from now on.
     void ready(const DirectNode &node);
     void write(const SegmentDecision &decision, const DirectNode &node, TimePoint now);
-    /// \brief Writes times that are unusual, and how long requests were held; all times are in the
-    /// histograms.
+    /// \brief Logs how long a held request waited, and answers that were unusually slow.
+    ///
+    /// Other times are only recorded in the histograms of DirectMetrics.
     void write(const FlowMeasurement &measured, const DirectNode &node, TimePoint now);
     void write(const TargetStateChange &change, const DirectNode &node, TimePoint now);
     void write(const SaturationChange &change, const DirectNode &node, TimePoint now);
     void write(const NodeNotice &notice, TimePoint now);
 
-    /// \brief Writes that a datagram is no packet of a caller. \param finding What, and where.
+    /// \brief Logs that a datagram was dropped because it is not a valid packet of a caller.
+    /// \param finding What is wrong with it, and where.
     void refusedPacket(const Endpoint &sender, std::size_t bytes, std::string_view finding,
                        TimePoint now);
 
-    /// \return Lines that were left out so far.
+    /// \return Events suppressed by the rate limit so far.
     [[nodiscard]] std::uint64_t leftOut() const noexcept { return m_leftOut; }
 
 private:
-    /// \brief Writes the event, or counts it where its kind has had its lines for this second.
+    /// \brief Writes the event, or only counts it if its kind has reached its limit for this
+    /// second. \param make Called only if the event is written.
     void admit(Part part, std::string_view kind, TimePoint now,
                const std::function<LogEvent()> &make);
 
+    /// \brief Logs the search for a source, if SourceSearch finds it worth an event.
     void writeSearch(const QueryReport &end, TimePoint now);
 
     LogLimiter m_limiter;
--- a/src/daemon/direct/direct_metrics.h
+++ b/src/daemon/direct/direct_metrics.h
@@ -12,22 +12,22 @@
 
 namespace baobabtrail::daemon {
 
-/// Names of SegmentCause, for labels and the log.
+/// Names of SegmentCause in metric labels and log events.
 inline constexpr std::array<std::string_view, 14> SegmentCauseNames{
     "forwarded",     "placed",     "offered_again", "repeated",      "moved",
     "no_route",      "stale_view", "no_target",     "route_removed", "target_gone",
     "unknown_label", "held",       "absorbed",      "given_up"};
-/// Names of DirectTargetState.
+/// Names of DirectTargetState in metric labels and log events; "trusted" is a healthy target.
 inline constexpr std::array<std::string_view, 7> TargetStateNames{
     "trusted", "suspect", "draining", "evacuated", "lapsed", "gone", "refused"};
-/// Names of FlowTime.
+/// Names of FlowTime in metric labels.
 inline constexpr std::array<std::string_view, 3> FlowTimeNames{"open", "answer", "held"};
 
-/// Names of ProbeOutcome.
+/// Names of ProbeOutcome in metric labels.
 inline constexpr std::array<std::string_view, 4> ProbeOutcomeNames{"alive", "refused", "silent",
                                                                    "unsure"};
 
-/// Names of QueryOutcome.
+/// Names of QueryOutcome in metric labels and log events.
 inline constexpr std::array<std::string_view, 7> QueryOutcomeNames{
     "taken", "stale", "blank", "redirected", "refused", "misfit", "unanswered"};
 
@@ -44,9 +44,9 @@
     return TargetStateNames[static_cast<std::size_t>(state)];
 }
 
-/// \brief Counters and histograms of a daemon whose targets answer directly.
+/// \brief Counters and histograms of a daemon that forwards directly.
 ///
-/// Bounded: services beyond the most that are told apart share the entry "other".
+/// Memory is bounded: services beyond a maximum share the entry "other".
 class DirectMetrics
 {
 public:
@@ -54,20 +54,21 @@
     void measured(const FlowMeasurement &measured, const RouteTable &routes);
     void queryEnded(const PeerQueryEnded &queryEnded);
 
-    /// \return The metrics page. \param peers Connections of other daemons.
-    /// \param logLinesLeftOut So far.
+    /// \param peers Connections of other daemons.
+    /// \param logLinesLeftOut Log events suppressed by the rate limit so far.
+    /// \return The metrics page, in the Prometheus text exposition format.
     [[nodiscard]] std::string page(const DirectNode &node, const HttpConnections &peers,
                                    std::uint64_t logLinesLeftOut) const;
 
     SocketCounters packets;
-    std::uint64_t packetsRefused = 0; ///< Datagrams that are no packets.
-    std::uint64_t objectsRefused = 0; ///< Objects of the store that can't be used.
+    std::uint64_t packetsRefused = 0; ///< Datagrams that are not valid packets.
+    std::uint64_t objectsRefused = 0; ///< Objects of the store that are invalid.
     std::uint64_t processStalls = 0;
-    std::uint64_t packetsDelayed = 0;      ///< Waited for the directory.
-    std::uint64_t peerQueriesAnswered = 0; ///< Questions of this daemon.
+    std::uint64_t packetsDelayed = 0;      ///< Had to wait for the directory.
+    std::uint64_t peerQueriesAnswered = 0; ///< Queries of this daemon.
     std::uint64_t peerQueriesFailed = 0;
-    std::uint64_t peerQueriesServed = 0; ///< Questions of others.
-    std::uint64_t peerBytesServed = 0;   ///< Bodies of the answers.
+    std::uint64_t peerQueriesServed = 0; ///< Queries of other daemons.
+    std::uint64_t peerBytesServed = 0;   ///< Body bytes of the answers to them.
     CounterArray<ProbeOutcomeNames.size()> probes{};
     std::array<CounterArray<PlatformResultNames.size()>, PlatformCallNames.size()> storeCalls{};
 
@@ -88,12 +89,12 @@
     static void writeTree(Exposition &page, const DirectNode &node, const HttpConnections &peers);
     void writeSocket(Exposition &page) const;
 
-    /// \brief Questions to other daemons.
+    /// \brief Queries to other daemons, by outcome.
     struct PeerQueries
     {
         CounterArray<QueryOutcomeNames.size()> outcomes{};
         CounterArray<QueryOutcomeNames.size()> bytes{};
-        DurationHistogram answerTimes; ///< Beyond the wait; of answers that were taken.
+        DurationHistogram answerTimes; ///< Of answers that were applied; without the query's wait.
     };
 
     std::map<std::string, Service, std::less<>> m_services;
--- a/src/daemon/direct/direct_settings.h
+++ b/src/daemon/direct/direct_settings.h
@@ -8,14 +8,15 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Addresses of a daemon whose targets answer callers directly.
+/// \brief Addresses at which a daemon that forwards directly listens.
 struct DirectAddresses
 {
-    Endpoint packets;   ///< UDP; packets of callers.
-    Endpoint readiness; ///< TCP, HTTP; whoever spreads packets over daemons asks here.
-    Endpoint metrics;   ///< TCP, HTTP; null for none.
-    Endpoint peers;     ///< TCP, HTTP; other daemons ask here. Null for none.
-    /// Where they reach \a peers, if it is not there, as behind a relay; null where it is.
+    Endpoint packets;   ///< UDP; receives the packets of callers.
+    Endpoint readiness; ///< TCP, HTTP; polled by what spreads packets over daemons.
+    Endpoint metrics;   ///< TCP, HTTP; null if disabled.
+    Endpoint peers;     ///< TCP, HTTP; queried by other daemons. Null if disabled.
+    /// Address at which other daemons reach \a peers if it differs, for example behind a relay;
+    /// null otherwise.
     Endpoint peersReachedAt;
 
     /// \return The address by which other daemons know this one.
@@ -25,24 +26,24 @@
     }
 };
 
-/// \brief All that the settings file of such a daemon says.
+/// \brief Settings of a daemon that forwards directly.
 struct DirectDaemonSettings
 {
     std::string name;
     std::string domain;
     DirectAddresses addresses;
     PlatformClientSettings store;
-    /// The process is killed this long after SIGTERM.
+    /// The process is killed this long after SIGTERM, so it has to end before.
     Duration killedAfter = 6s;
-    /// Without a packet for this long, a daemon that stops has been taken out of the rotation: it
-    /// gets hundreds a second before. A longer one makes the stops of a rolling restart overlap,
-    /// until a failure domain has nobody else left.
+    /// A stopping daemon that has received no packet for this long has been taken out of rotation,
+    /// since it receives hundreds a second before. A longer time would make the stops of a rolling
+    /// restart overlap, until a failure domain has no other daemon left.
     Duration stopLinger = 400ms;
     SocketSettings sockets;
     AdministrationSettings http;
     LogSettings log;
     RestartPolicy restarts;
-    /// Addresses of daemons that watch the store; the others have their copies from these.
+    /// Addresses of the daemons that watch the store; the others copy the directory from these.
     std::vector<Endpoint> roots;
     DirectNodeSettings node;
 };
--- a/src/daemon/direct/direct_tables.h
+++ b/src/daemon/direct/direct_tables.h
@@ -8,26 +8,29 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief What the operators' language can ask a daemon whose targets answer callers directly.
+/// \brief The state that statements of the operators' language can read from a daemon that
+/// forwards directly.
 struct DirectBackend
 {
     std::string name;
     std::string domain;
-    Endpoint peers; ///< Where other daemons ask this one.
+    Endpoint peers; ///< Address by which other daemons know this one.
     const DirectNode *node = nullptr;
     TimePoint now{};
-    std::function<std::string()> metrics; ///< Text of the metrics page.
+    std::function<std::string()> metrics; ///< Returns the text of the metrics page.
 };
 
-/// \brief Runs one statement that shows something. Routes and targets are changed in the platform's
-/// store, so commands are refused, and say so.
+/// \brief Executes one read-only statement.
+///
+/// Commands are refused with a message that says where to make the change instead: routes and
+/// targets are changed in the platform's store.
 ///
 /// | statement | rows |
 /// |---|---|
-/// | show targets, show drains | targets with the inputs of their choice; those that leave |
+/// | show targets, show drains | targets with the inputs of target selection; only leaving ones |
 /// | show services | services with their routes and targets |
 /// | show daemons, show revision | this daemon and its view; the roots that it knows |
-/// | show distribution | each collection: where it comes from, how old it is, and why |
+/// | show distribution | each collection: its source, its age, and why it is old |
 /// | show metrics, help | |
 [[nodiscard]] language::Result executeDirect(const DirectBackend &backend, const std::string &text);
 
--- a/src/daemon/direct/peer_http.h
+++ b/src/daemon/direct/peer_http.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Questions and answers between daemons as HTTP messages.
+/// \brief Converts queries and answers between daemons to and from HTTP messages.
 
 #include "core/directory/peer_view.h"
 #include "daemon/admin/http_server.h"
@@ -9,15 +9,17 @@
 
 namespace baobabtrail::daemon {
 
-/// \return The call that asks another daemon.
+/// \return The HTTP call that queries another daemon.
 [[nodiscard]] HttpCall peerCall(const Endpoint &peer, const PeerQuery &query,
                                 const QueryTimeouts &timeouts);
-/// \return What that call brought.
+/// \return The peer's answer, or why there is none.
 [[nodiscard]] PeerResult peerResult(const HttpResult &result);
 
-/// \return The question that a request asks, or nothing where it asks none.
+/// \return The query in a request; nothing if the request isn't a valid query.
 [[nodiscard]] std::optional<PeerQuery> parsePeerQuery(const HttpRequest &request);
-/// \return The response to that request.
+/// \brief Converts the answer to a query into an HTTP response, compressed if the client accepts
+/// it. \param request The request that held the query. \param reply Without a value, the response
+/// is 503.
 [[nodiscard]] HttpReply peerResponse(const HttpRequest &request, const PeerReply &reply);
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/direct/source_search.h
+++ b/src/daemon/direct/source_search.h
@@ -8,20 +8,21 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Decides when a daemon's search for a source is worth a line: a search of hundreds of
-/// daemons would else write one for each try.
+/// \brief Limits the log events of a daemon's search for a source: otherwise a search through
+/// hundreds of daemons would log every try.
 class SourceSearch
 {
 public:
-    /// \brief What a line says.
+    /// \brief The contents of a log event about the search.
     struct Report
     {
-        std::uint64_t tries = 0; ///< Since the search began.
+        std::uint64_t tries = 0; ///< Queries without success since the search began.
         Duration lasted{0};
         bool found = false;
     };
 
-    /// \brief A question has ended. \return What to write; nothing for most.
+    /// \brief Records the end of a query.
+    /// \return What to log; nothing for most queries.
     [[nodiscard]] std::optional<Report> ended(const QueryReport &end, TimePoint now)
     {
         const bool answered
@@ -40,7 +41,7 @@
     }
 
 private:
-    /// Most searches are over by then; each further line waits twice as long.
+    /// Delay of the first event, as most searches end sooner; it doubles after each event.
     static constexpr Duration FirstReport = 1s;
 
     [[nodiscard]] std::optional<Report> found(TimePoint now)
