--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -18,20 +18,22 @@
 
 namespace {
 
-// A direct child of the root that gave up has tried long enough: the process ends.
+// The root tolerates no failure: a direct child that fails ends the process, since a supervisor
+// below the root fails only after it has restarted its children as often as allowed.
 constexpr std::size_t NoFailures = 0;
-/// Left of the time until the process is killed, to end in order.
+/// Reserved before the process is killed, for an orderly shutdown.
 constexpr Duration KillMargin = 700ms;
-/// Until a call is tried again that found its client being restarted.
+/// Delay of a call that finds its client being restarted.
 constexpr Duration ClientRetryDelay = 100ms;
 constexpr Duration ClockPeriod = 500ms;
-/// A machine that lives takes a connection within milliseconds, however busy its programs are.
+/// A live machine accepts a connection within milliseconds, however busy its processes are.
 constexpr Duration ProbeTimeout = 250ms;
-/// Between two looks at the settings file: three system calls each, and soon enough for a store
-/// that has moved, since a view serves on for longer.
+/// Interval of checks for a changed settings file. A check costs three system calls. After the
+/// store has moved, the present view can be used for longer than this interval.
 constexpr Duration SettingsPeriod = 2s;
-/// A timer that is later than this, or a clock that has moved on by as much more than the other
-/// one, means that the process stood still: half of the time in which a change has to be in force.
+/// A timer that is late by this, or a boot clock that has advanced by this more than the monotonic
+/// clock, means that the process stalled. Half of the time within which a change has to be in
+/// force.
 constexpr Duration StallThreshold = 1500ms;
 
 [[nodiscard]] RestartPolicy withoutFailures(RestartPolicy policy) noexcept
@@ -190,7 +192,7 @@
                              std::function<void(PlatformResult)> done)
 {
     if (!m_store) {
-        // The client is being restarted; its children start one after the other.
+        // The client is being restarted: the supervisor starts its children one after the other.
         runtime().after(ClientRetryDelay, [this, request, done = std::move(done)]() mutable {
             callStore(request, std::move(done));
         });
@@ -208,7 +210,7 @@
 {
     if (!m_peers) {
         runtime().after(ClientRetryDelay, [done = std::move(done)] {
-            done({{}, 0, "the client is restarted"});
+            done({{}, 0, "the HTTP client is being restarted"});
         });
         return;
     }
@@ -241,7 +243,7 @@
 {
     const auto query = parsePeerQuery(request);
     if (!query || !m_node) {
-        respond({400, "text/plain", "not a question about the directory\n"});
+        respond({400, "text/plain", "not a valid query of the directory\n"});
         return;
     }
     m_node->handle(*query, [this, request, respond](const PeerReply &reply) {
@@ -270,12 +272,12 @@
                                 const SegmentVerdict &verdict)
 {
     if (!m_packets)
-        return; // The socket is being restarted: a loss in the network, as it looks to both ends.
+        return; // The socket is being restarted: both ends see this as packet loss.
     if (const auto *deliver = std::get_if<DeliverSegment>(&verdict)) {
         m_packets->send(deliver->address,
                         platform::toTarget(bytes, deliver->target, deliver->label));
     } else if (const auto *abort = std::get_if<AbortFlow>(&verdict)) {
-        // Callers listen at the port at which daemons take their packets.
+        // Callers listen at the same port number at which daemons receive their packets.
         m_packets->send({segment.flow.caller.address, m_settings.addresses.packets.port},
                         platform::abortPacket(segment.flow, abort->sequence));
     }
@@ -290,8 +292,8 @@
     return {200, "text/plain", "ready\n"};
 }
 
-// Statements that show something need no key here: the page of metrics at the same address tells as
-// much, and nothing can be changed.
+// Statements need no operator key here: they can't change anything, and the metrics page at the
+// same address exposes as much.
 HttpReply DirectDaemon::administration(const HttpRequest &request) const
 {
     if (!m_node)
@@ -346,8 +348,8 @@
     });
 }
 
-// The file may change without a signal; a daemon that went on with its old roots or the store's old
-// address would lose both, one after the other.
+// The file may change without a signal. A daemon that kept using its old roots or the old address
+// of the store would lose contact to both, one after the other.
 void DirectDaemon::watchSettings()
 {
     m_settingsTimer.start(SettingsPeriod, [this] {
@@ -400,7 +402,7 @@
     m_stopping = true;
     writeEvent(LogEvent{Severity::Info, Part::Daemon, "stop"}.field(
         "flows", m_node ? m_node->router().flows() : 0));
-    // Requests that waited here would end with the process, without a word to their callers.
+    // Requests still held would be lost with the process, and their callers would not be notified.
     if (m_node)
         m_node->stopHolding();
     m_stopTimer.start(std::max(m_settings.killedAfter - KillMargin, Duration{0}),
@@ -413,7 +415,7 @@
 void DirectDaemon::finish(ExitStatus status)
 {
     m_status = status;
-    // Later, since this may be called by a part that is about to be stopped.
+    // Deferred, as the caller may be a component that is about to be destroyed.
     boost::asio::post(m_context, [this] {
         m_root.stop();
         m_context.stop();
--- a/src/daemon/direct/direct_log.cpp
+++ b/src/daemon/direct/direct_log.cpp
@@ -20,18 +20,19 @@
     }
 }
 
-/// An answer is worth a line from this time on, where it took much longer than the target's others.
+/// An answer that took at least this long is logged if it also took SlowFactor times the target's
+/// average.
 constexpr Duration MinSlowAnswer = 100ms;
 constexpr int SlowFactor = 3;
 
-/// \brief Adds the flow's id: both ends, as its caller sees them.
+/// \brief Adds the flow's id: both endpoints, as its caller sees them.
 void addFlow(LogEvent &event, const Segment &segment)
 {
     event.field("flow", toString(segment.flow.caller) + '>' + toString(segment.flow.service))
         .field("sequence", segment.sequence);
 }
 
-/// \brief Adds what is known of a target, as the choice among targets uses it.
+/// \brief Adds a target's state, as target selection uses it.
 void addTarget(LogEvent &event, const DirectTarget &target, TimePoint now)
 {
     event.field("target", target.entry.name)
@@ -47,7 +48,7 @@
         event.field("heard_ms_ago", now - *target.heardAt);
 }
 
-/// \brief Adds what decided whether a request waits for the target.
+/// \brief Adds what decides whether a request is held until the target has room.
 void addWindow(LogEvent &event, const DirectNode &node, const DirectTarget &target)
 {
     const TargetWindow *window = node.router().gate().window(target.entry.id);
@@ -65,20 +66,20 @@
         event.field("view_age_ms", *age);
 }
 
-/// Answers from this size on are worth a line, as copies or large changes.
+/// Answers of at least this many bytes are logged: they hold whole copies or large changes.
 constexpr std::uint64_t LargeAnswer = 16384;
 
-/// \return The event of a question that ended so.
+/// \return The event name of a query with this outcome.
 [[nodiscard]] std::string_view kindOf(QueryOutcome outcome) noexcept
 {
     return outcome == QueryOutcome::Applied ? "peer_copied" : "peer_unanswered";
 }
 
-/// \return Whether a question is counted only: most end within their wait and bring little, the
-/// states of the source have lines of their own, and so has a search.
+/// \return Whether a query is counted in metrics but not logged. Most queries end within their wait
+/// and return few bytes; state changes of the source and the search for one are logged separately.
 [[nodiscard]] bool isCountedOnly(const QueryReport &end) noexcept
 {
-    // The source that answered until now is waited for.
+    // A query with a wait and a version goes to the source that answered until now.
     const bool contactLost = end.wait > Duration{0} && !end.after.isNull();
     switch (end.outcome) {
     case QueryOutcome::Unanswered:
@@ -93,7 +94,7 @@
     }
 }
 
-/// \brief Makes the line of a notice and names its part.
+/// \brief Converts a notice to a log event.
 struct NoticeLine
 {
     LogEvent operator()(const RoutesInForce &in) const
@@ -110,8 +111,9 @@
         LogEvent event{Severity::Warning, Part::Config, "object_refused"};
         event.field("place", in.finding.place)
             .field("finding", in.finding.text)
-            .field("outcome", in.replaces ? "its target takes no new flow; all others hold"
-                                          : "the last good view stays in force");
+            .field("outcome", in.replaces
+                                  ? "its target gets no new flows; all other objects stay in force"
+                                  : "the last good view stays in force");
         return event;
     }
     LogEvent operator()(const StoreContact &in) const
@@ -166,7 +168,7 @@
         LogEvent event{Severity::Warning, Part::Platform, "history_lost"};
         event.field("collection", in.collection)
             .field("revision", in.version.value())
-            .field("outcome", "everything is listed anew");
+            .field("outcome", "all objects are listed again");
         return event;
     }
     LogEvent operator()(const DomainEvacuated &in) const
@@ -183,13 +185,13 @@
     LogEvent operator()(const WaitingQueueFull &in) const
     {
         LogEvent event{Severity::Warning, Part::Flows, "waiting_full"};
-        event.field("waiting", in.waiting).field("outcome", "dropped; the caller sends it again");
+        event.field("waiting", in.waiting).field("outcome", "dropped; the caller retransmits it");
         return event;
     }
     LogEvent operator()(const ProcessStalled &in) const
     {
         LogEvent event{Severity::Warning, Part::Daemon, "stood_still"};
-        event.field("gap_ms", in.gap).field("outcome", "the view is read again");
+        event.field("gap_ms", in.gap).field("outcome", "the directory is read again");
         return event;
     }
 };
@@ -233,7 +235,8 @@
 
 void DirectLog::write(const SegmentDecision &decision, const DirectNode &node, TimePoint now)
 {
-    // Segments of open flows are counted, not written: they are the bulk, and decide nothing.
+    // Segments of open flows are counted but not logged: they are the bulk of the traffic, and no
+    // target is selected for them.
     if (decision.cause == SegmentCause::Forwarded)
         return;
     const std::string_view kind = nameOf(decision.cause);
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// Services with entries of their own; each has two histograms of about 2 KB.
+/// Services with an entry of their own; each entry has two histograms of about 2 KB.
 constexpr std::size_t MaxServices = 64;
-/// Saturated targets with a sample of their own, of about 60 bytes.
+/// Saturated targets with a sample of their own; a sample takes about 60 bytes.
 constexpr std::size_t MaxWindows = 256;
 constexpr std::string_view OtherService = "other";
 constexpr std::string_view NoService = "none";
@@ -78,21 +78,21 @@
 void DirectMetrics::writeNode(Exposition &page, const DirectNode &node)
 {
     const auto number = [](auto value) { return static_cast<double>(value); };
-    writeOne(page, "baobabtrail_ready", "gauge", "Whether traffic is taken.", node.ready());
+    writeOne(page, "baobabtrail_ready", "gauge", "Whether traffic is accepted.", node.ready());
     writeOne(page, "baobabtrail_config_version", "gauge", "Version of the routes in force.",
              number(node.router().routes().version));
-    writeOne(page, "baobabtrail_view_revision", "gauge", "Revision of the store that is in force.",
+    writeOne(page, "baobabtrail_view_revision", "gauge", "Store revision that is in force.",
              number(node.version().value()));
     if (const auto age = node.viewAge())
         writeOne(page, "baobabtrail_view_age_seconds", "gauge",
-                 "Since the store last confirmed the view.",
+                 "Time since the store last confirmed the view.",
                  std::chrono::duration<double>(*age).count());
     writeOne(page, "baobabtrail_flows", "gauge", "Flows whose load is counted.",
              number(node.router().flows()));
     CounterArray<TargetStateNames.size()> states{};
     for (const auto &[id, target] : node.router().targets().all())
         ++states[static_cast<std::size_t>(node.router().targets().state(target))];
-    page.family("baobabtrail_targets", "gauge", "Targets, by what is believed of them.");
+    page.family("baobabtrail_targets", "gauge", "Targets, by state.");
     for (std::size_t index = 0; index < states.size(); ++index)
         page.sample({{"belief", TargetStateNames[index]}}, number(states[index]));
     writeDomains(page, node);
@@ -112,23 +112,23 @@
                               const HttpConnections &peers)
 {
     const auto number = [](auto value) { return static_cast<double>(value); };
-    writeOne(page, "baobabtrail_followers", "gauge", "Daemons that have their copies from here.",
-             number(node.relay().followers()));
+    writeOne(page, "baobabtrail_followers", "gauge",
+             "Daemons that copy the directory from this one.", number(node.relay().followers()));
     writeOne(page, "baobabtrail_sent_on_total", "counter",
-             "Daemons that were sent on to others, since all places were taken.",
+             "Daemons redirected to others because all follower slots were taken.",
              number(node.relay().redirected()));
     writeOne(page, "baobabtrail_source_depth", "gauge",
-             "Daemons between this one and the store; 0 while it asks the store itself.",
+             "Daemons between this one and the store; 0 while it watches the store itself.",
              number(node.peers().lineage().path.size()));
-    writeOne(page, "baobabtrail_peer_connections", "gauge", "Connections of other daemons.",
+    writeOne(page, "baobabtrail_peer_connections", "gauge", "Open connections of other daemons.",
              number(peers.open));
-    writeOne(page, "baobabtrail_peer_connections_most", "gauge", "Most of these at once.",
-             number(peers.most));
+    writeOne(page, "baobabtrail_peer_connections_most", "gauge",
+             "Highest number of open connections of other daemons.", number(peers.most));
     writeOne(page, "baobabtrail_peer_connections_once_total", "counter",
-             "Connections that ended after one answer, since enough others were kept.",
+             "Connections closed after one answer because enough others were open.",
              number(peers.once));
     writeOne(page, "baobabtrail_peer_connections_postponed_total", "counter",
-             "Times that a new connection had to wait for another one's end.",
+             "New connections that had to wait until another one was closed.",
              number(peers.postponed));
 }
 
@@ -136,11 +136,11 @@
 {
     const RequestGate &gate = node.router().gate();
     writeOne(page, "baobabtrail_requests_held", "gauge",
-             "Requests that wait for saturated targets.", static_cast<double>(gate.held()));
-    writeOne(page, "baobabtrail_held_bytes", "gauge", "Bytes of these.",
+             "Requests that wait for a saturated target.", static_cast<double>(gate.held()));
+    writeOne(page, "baobabtrail_held_bytes", "gauge", "Bytes of the held requests.",
              static_cast<double>(node.heldBytes()));
     page.family("baobabtrail_target_window", "gauge",
-                "Requests that a saturated target may have at once; no sample for others.");
+                "Requests that a saturated target may have at once; other targets have no sample.");
     std::size_t written = 0;
     for (const auto &[id, target] : node.router().targets().all()) {
         const TargetWindow *window = gate.window(id);
@@ -165,21 +165,22 @@
     event("peer_failed", peerQueriesFailed);
     event("peer_served", peerQueriesServed);
     page.family("baobabtrail_probes_total", "counter",
-                "Connections that were tried to targets that left a flow without a sign.");
+                "Connection probes of targets that left a flow unanswered, by outcome.");
     for (std::size_t index = 0; index < ProbeOutcomeNames.size(); ++index)
         page.sample({{"outcome", ProbeOutcomeNames[index]}}, static_cast<double>(probes[index]));
 }
 
 void DirectMetrics::writeServices(Exposition &page) const
 {
-    page.family("baobabtrail_segments_total", "counter", "Segments of callers, by decision.");
+    page.family("baobabtrail_segments_total", "counter",
+                "Segments received from callers, by decision.");
     for (const auto &[name, service] : m_services) {
         for (std::size_t index = 0; index < SegmentCauseNames.size(); ++index)
             page.sample({{"service", name}, {"decision", SegmentCauseNames[index]}},
                         static_cast<double>(service.causes[index]));
     }
     page.family("baobabtrail_flow_seconds", "histogram",
-                "Times of flows as this daemon sees them pass.");
+                "Times of flows as this daemon observes them.");
     for (const auto &[name, service] : m_services) {
         for (std::size_t index = 0; index < FlowTimeNames.size(); ++index)
             service.times[index].write(page, {{"service", name}, {"time", FlowTimeNames[index]}});
@@ -194,14 +195,14 @@
             page.sample({{"outcome", QueryOutcomeNames[index]}},
                         static_cast<double>((m_peerQueries.*member)[index]));
     };
-    write("baobabtrail_peer_questions_total", "Questions to other daemons, by how they ended.",
+    write("baobabtrail_peer_questions_total", "Queries to other daemons, by outcome.",
           &PeerQueries::outcomes);
-    write("baobabtrail_peer_answer_bytes_total", "Bytes received of their answers.",
+    write("baobabtrail_peer_answer_bytes_total", "Bytes received in answers to them, by outcome.",
           &PeerQueries::bytes);
     writeOne(page, "baobabtrail_peer_served_bytes_total", "counter",
              "Bytes of answers to other daemons.", static_cast<double>(peerBytesServed));
     page.family("baobabtrail_peer_answer_seconds", "histogram",
-                "Of answers that were taken, beyond the wait that was allowed.");
+                "Time to an answer that was applied, beyond the wait that the query allowed.");
     m_peerQueries.answerTimes.write(page, {});
 }
 
--- a/src/daemon/direct/direct_tables.cpp
+++ b/src/daemon/direct/direct_tables.cpp
@@ -46,7 +46,7 @@
            || state == DirectTargetState::Refused;
 }
 
-/// \return Requests that a saturated target may have at once.
+/// \return Requests that a saturated target may have at once; NotKnown for other targets.
 [[nodiscard]] std::string windowOf(const DirectNode &node, TargetId target)
 {
     const TargetWindow *window = node.router().gate().window(target);
@@ -136,7 +136,7 @@
     return result;
 }
 
-/// \return Why the daemon's view may be old.
+/// \return Why the daemon's view may be stale; NotKnown if it is fresh.
 [[nodiscard]] std::string staleReason(const DirectNode &node)
 {
     if (node.fresh())
@@ -145,15 +145,15 @@
         return "has no complete view yet";
     switch (node.peers().state()) {
     case PeerState::Waiting:
-        return "its source waits for the store";
+        return "its source is waiting for the store";
     case PeerState::Stale:
-        return "nobody that it reaches hears the store";
+        return "no daemon that it reaches is connected to the store";
     case PeerState::Lost:
-        return "no daemon answers it";
+        return "no daemon answers its queries";
     case PeerState::Fresh:
         break;
     }
-    return "no answer for a while";
+    return "no recent answer";
 }
 
 [[nodiscard]] Result distributionTable(const DirectBackend &backend)
@@ -226,10 +226,12 @@
     case language::Table::Changes:
         break;
     }
-    return Result{Status::Refused, {"changes are kept by the platform's store, not here"}, {}, {}};
+    return Result{
+        Status::Refused, {"changes are kept in the platform's store, not by this daemon"}, {}, {}};
 }
 
-/// \brief Runs one statement; what is not shown here is refused with the place to go to.
+/// \brief Executes one statement; one that isn't supported here is refused with a message that says
+/// where to go instead.
 struct Executor
 {
     const DirectBackend &backend;
@@ -249,10 +251,11 @@
     }
     Result operator()(const language::ExplainFlow &) const
     {
-        return {Status::Refused,
-                {"ask the logs: baobabctl explain flow 'CALLER>SERVICE' < LOGS"},
-                {},
-                {}};
+        return {
+            Status::Refused,
+            {"flows are explained from the logs: baobabctl explain flow 'CALLER>SERVICE' < LOGS"},
+            {},
+            {}};
     }
     template <typename Other>
     Result operator()(const Other &) const
--- a/src/daemon/direct/peer_http.cpp
+++ b/src/daemon/direct/peer_http.cpp
@@ -10,11 +10,12 @@
 
 constexpr int HttpVersion = 11;
 
-/// \param bytes That were received.
+/// \brief Parses an answer.
+/// \param body Decompressed. \param bytes Received, before decompression.
 [[nodiscard]] PeerResult readAnswer(std::string_view body, std::uint64_t bytes)
 {
     PeerReply reply = wire::parseAnswer(body);
-    const char *const why = reply ? "" : "the answer can't be read";
+    const char *const why = reply ? "" : "the answer can't be parsed";
     return {std::move(reply), bytes, why};
 }
 
@@ -46,7 +47,8 @@
     if (response[http::field::content_encoding] != wire::PackedCoding)
         return readAnswer(response.body(), bytes);
     const auto body = wire::unpacked(response.body());
-    return body ? readAnswer(*body, bytes) : PeerResult{{}, bytes, "the answer can't be unpacked"};
+    return body ? readAnswer(*body, bytes)
+                : PeerResult{{}, bytes, "the answer can't be decompressed"};
 }
 
 std::optional<PeerQuery> parsePeerQuery(const HttpRequest &request)
@@ -57,7 +59,7 @@
 HttpReply peerResponse(const HttpRequest &request, const PeerReply &reply)
 {
     if (!reply) {
-        HttpReply none{503, "text/plain", "no copy that can be vouched for\n"};
+        HttpReply none{503, "text/plain", "no confirmed copy\n"};
         none.closes = true;
         return none;
     }
