--- a/src/daemon/log/line_output.cpp
+++ b/src/daemon/log/line_output.cpp
@@ -16,9 +16,9 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/// A reader that is merely busy takes a full pipe within this.
+/// A reader that is only busy drains a full pipe within this time.
 constexpr auto ShutdownTimeout = 300ms;
-/// Between two looks whether the process is about to end.
+/// Interval at which a blocked write checks whether the shutdown has started.
 constexpr auto PollInterval = 50ms;
 
 } // namespace
--- a/src/daemon/log/line_output.h
+++ b/src/daemon/log/line_output.h
@@ -9,24 +9,26 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Writes lines to a file descriptor, and waits for its reader only as long as the process
-/// is not about to end.
+/// \brief Log sink that writes lines to a file descriptor, and waits for a slow reader only until
+/// the process shuts down.
 ///
-/// A write into a full pipe that nobody reads never returns, and the process could not end then.
-/// Each write is no longer than what a pipe with room takes at once, and room is waited for first.
+/// A write to a full pipe that nobody reads never returns, so the process could not exit. Therefore
+/// each write first polls for room, and is no longer than what a pipe with room accepts at once.
 class LineOutput : public boost::log::sinks::basic_formatted_sink_backend<
                        char, boost::log::sinks::synchronized_feeding>
 {
 public:
-    /// \param descriptor Stays open for as long as this object lives.
+    /// \param descriptor Must stay open for as long as this object lives.
     explicit LineOutput(int descriptor) noexcept
         : m_descriptor(descriptor)
     {
     }
 
-    /// \brief Writes one line; drops it where the process ends and the reader takes no more.
+    /// \brief Writes one line. Drops it if the process is shutting down and the reader doesn't read
+    /// in time, or if the reader is gone.
     void consume(const boost::log::record_view &record, const std::string &line);
-    /// \brief The process is about to end: the reader has a moment left. From any thread.
+    /// \brief Starts the timeout after which lines that the reader doesn't accept are dropped.
+    /// Thread-safe.
     void startShutdown() noexcept;
 
 private:
--- a/src/daemon/log/log.cpp
+++ b/src/daemon/log/log.cpp
@@ -37,7 +37,7 @@
     return instance;
 }
 
-/// \brief Makes a line of the event: one JSON object.
+/// \brief Formats a record as one line with a JSON object.
 void format(const logging::record_view &record, logging::formatting_ostream &out)
 {
     const auto time = record["TimeStamp"].extract<boost::posix_time::ptime>();
@@ -58,7 +58,8 @@
 LogSession::LogSession(Severity level)
     : m_sink(std::make_unique<Sink>())
 {
-    // Where the log's reader is gone, a write would end the daemon; now it fails, and costs a line.
+    // Without this, a write after the log's reader has exited would kill the daemon. Now the write
+    // fails and only the line is lost.
     std::signal(SIGPIPE, SIG_IGN);
     m_sink->output = boost::make_shared<LineOutput>(STDOUT_FILENO);
     m_sink->frontend = boost::make_shared<Frontend>(m_sink->output);
--- a/src/daemon/log/log.h
+++ b/src/daemon/log/log.h
@@ -10,14 +10,15 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Sends lines to standard output from a thread of its own, for as long as it lives.
+/// \brief Writes log lines to standard output from its own thread, for as long as it lives.
 ///
-/// A reader of standard output that has stopped must not stop forwarding: lines wait in a bounded
-/// queue, and those that find it full are dropped. Nor may one that is gone end the process:
-/// SIGPIPE is ignored from then on.
+/// A reader of standard output that has stopped reading must not block forwarding: lines are queued
+/// in a bounded queue and dropped when it is full. A reader that has exited must not end the
+/// process: SIGPIPE is ignored from the construction on.
 class LogSession
 {
 public:
+    /// \param level Events below this severity are discarded.
     explicit LogSession(Severity level);
     ~LogSession();
     LogSession(const LogSession &) = delete;
@@ -28,10 +29,11 @@
     std::unique_ptr<Sink> m_sink;
 };
 
-/// \brief Writes an event that has no fields, as "revision 7 is in force" of the part config.
+/// \brief Writes an event without fields, for example "revision 7 is in force" of the part config.
 void logLine(Severity severity, Part part, std::string_view text);
 
-/// \brief Writes the notices of the core, bounded by kind, with the names of what they concern.
+/// \brief Logs notices of the core with the names of the objects that they concern, with a rate
+/// limit for each kind of notice.
 class NoticeLog
 {
 public:
@@ -40,8 +42,8 @@
     {
     }
 
-    /// \param config Names the notice's service.
-    /// \return Whether the line was written.
+    /// \param config Used to look up the names of the notice's service and workspace.
+    /// \return Whether the notice was written; false if the rate limit suppressed it.
     bool write(const Notice &notice, const Config &config, TimePoint now);
 
 private:
--- a/src/daemon/log/log_event.cpp
+++ b/src/daemon/log/log_event.cpp
@@ -50,7 +50,7 @@
     const auto [end, status] = std::to_chars(digits.data(), digits.data() + digits.size(), value,
                                              std::chars_format::fixed, decimals);
     if (status != std::errc{})
-        return raw(name, "null"); // Not a number that JSON knows.
+        return raw(name, "null"); // The digits don't fit, as for a very large number.
     return raw(name, {digits.data(), static_cast<std::size_t>(end - digits.data())});
 }
 
--- a/src/daemon/log/log_event.h
+++ b/src/daemon/log/log_event.h
@@ -10,7 +10,7 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief One structured line of the log: what happened, with typed fields.
+/// \brief A structured log event: severity, part, name, and typed fields.
 ///
 /// \code
 /// LogEvent event{Severity::Info, Part::Flows, "placed"};
@@ -20,6 +20,7 @@
 class LogEvent
 {
 public:
+    /// \param part The subsystem that the event belongs to.
     /// \param name What happened, in one or a few words.
     LogEvent(Severity severity, Part part, std::string_view name);
 
@@ -34,7 +35,7 @@
     }
     LogEvent &field(std::string_view name, bool value);
     LogEvent &field(std::string_view name, double value);
-    /// \brief Writes milliseconds; \a name should end with "_ms".
+    /// \brief Adds a duration in milliseconds; \a name should end with "_ms".
     LogEvent &field(std::string_view name, Duration value)
     {
         return field(name, std::chrono::duration<double, std::milli>(value).count());
@@ -50,13 +51,15 @@
     [[nodiscard]] const std::string &members() const noexcept { return m_members; }
 
 private:
+    /// \param value Valid JSON.
     LogEvent &raw(std::string_view name, std::string_view value);
 
     Severity m_severity;
     std::string m_members;
 };
 
-/// \brief Writes a line. Never blocks: a reader that has stopped costs lines, not packets.
+/// \brief Writes an event to the log. Never blocks: if the log's reader has stopped, lines are
+/// dropped and forwarding continues.
 void writeEvent(const LogEvent &event);
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/log/log_limiter.cpp
+++ b/src/daemon/log/log_limiter.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Texts that hold something of a caller's choosing must not grow the table: beyond this many
-// kinds, the rest of a part counts as one.
+// Bounds the table, since callers control parts of some texts: beyond this many kinds, all further
+// kinds of a part share one limit.
 constexpr std::size_t MaxKinds = 512;
 
 [[nodiscard]] std::string kindOf(Part part, std::string_view text)
--- a/src/daemon/log/log_limiter.h
+++ b/src/daemon/log/log_limiter.h
@@ -10,11 +10,11 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Bounds the lines of one kind that are written in a second.
+/// \brief Rate limit for log lines: bounds the lines of each kind per second.
 ///
-/// Lines are of one kind where their part and their text without digits are the same. Traffic
-/// can bring about the same line thousands of times a second; writing all would slow down
-/// forwarding and hide the other lines.
+/// Two lines are of the same kind if their part and their text without digits are equal. Traffic
+/// can cause the same line thousands of times a second; writing them all would slow down forwarding
+/// and hide the other lines.
 class LogLimiter
 {
 public:
@@ -23,8 +23,9 @@
     {
     }
 
-    /// \return How many of the kind were left out since the last one that was written, or nothing
-    /// where this one is to be left out too.
+    /// \brief Decides whether a line is written.
+    /// \return The number of lines of its kind that were suppressed since the last one written;
+    /// nothing if this line is to be suppressed too.
     [[nodiscard]] std::optional<std::uint64_t> admit(Part part, std::string_view text,
                                                      TimePoint now);
 
