--- a/src/daemon/metrics/duration_histogram.cpp
+++ b/src/daemon/metrics/duration_histogram.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr unsigned BucketCount = 24; // four for each power of ten
+constexpr unsigned BucketCount = 24; // Four for each power of ten.
 constexpr double MinSeconds = 1e-4;
 constexpr double MaxSeconds = 1e2;
 
--- a/src/daemon/metrics/duration_histogram.h
+++ b/src/daemon/metrics/duration_histogram.h
@@ -17,12 +17,13 @@
 
 namespace baobabtrail::daemon {
 
-/// Quantiles that DurationHistogram estimates.
+/// The quantiles that DurationHistogram estimates.
 inline constexpr std::array Quantiles{0.5, 0.9, 0.99};
 
-/// \brief Times of one kind: buckets for the metrics page, and a mean and quantiles for people.
+/// \brief A histogram of durations: logarithmic buckets for the metrics page, and the mean and
+/// estimated quantiles for reports to people.
 ///
-/// Its memory doesn't grow with the number of times that were added.
+/// Memory is constant: it doesn't grow with the number of values.
 class DurationHistogram
 {
 public:
@@ -31,11 +32,14 @@
     void add(Duration duration);
 
     [[nodiscard]] std::uint64_t count() const noexcept;
+    /// \return The mean; 0 if no value was added yet.
     [[nodiscard]] Duration mean() const;
-    /// \param index Into Quantiles. \return The estimate, 0 before the first time was added.
+    /// \param index Into Quantiles.
+    /// \return The estimate; 0 if no value was added yet.
     [[nodiscard]] Duration quantile(std::size_t index) const;
 
-    /// \brief Writes buckets, sum and count as samples of the page's current family.
+    /// \brief Writes cumulative buckets, sum and count as samples of the page's current family, in
+    /// seconds.
     void write(Exposition &page, const Labels &labels) const;
 
 private:
--- a/src/daemon/metrics/exposition.h
+++ b/src/daemon/metrics/exposition.h
@@ -7,7 +7,7 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief A label of a sample, as tenant="alexandria".
+/// \brief Name and value of a sample's label, for example tenant="alexandria".
 using Label = std::pair<std::string_view, std::string_view>;
 using Labels = std::vector<Label>;
 
@@ -21,12 +21,14 @@
 class Exposition
 {
 public:
-    /// \brief Begins a family; the samples that follow belong to it.
+    /// \brief Starts a metric family; the samples that follow belong to it.
+    /// \param type "counter", "gauge" or "histogram".
     void family(std::string_view name, std::string_view type, std::string_view help);
     void sample(const Labels &labels, double value) { sample({}, labels, value); }
-    /// \param suffix Behind the family's name, as "_bucket".
+    /// \param suffix Appended to the family's name, for example "_bucket".
     void sample(std::string_view suffix, const Labels &labels, double value);
 
+    /// \return The page; the exposition is empty afterwards.
     [[nodiscard]] std::string take() noexcept { return std::move(m_text); }
 
 private:
--- a/src/daemon/metrics/metrics.cpp
+++ b/src/daemon/metrics/metrics.cpp
@@ -44,21 +44,23 @@
                &SocketCounters::sendDrops},
         Family{"baobabtrail_truncated_total", "Datagrams too long for the protocol.",
                &SocketCounters::truncated},
-        Family{"baobabtrail_bad_source_total", "Datagrams not from the fabric or without header.",
+        Family{"baobabtrail_bad_source_total",
+               "Datagrams not from the fabric or without a valid PROXY header.",
                &SocketCounters::badSource},
     };
     for (const Family &family : families) {
         page.family(family.name, "counter", family.help);
         writeSocket(page, family.field, counters);
     }
-    page.family("baobabtrail_decode_errors_total", "counter", "Datagrams not understood.");
+    page.family("baobabtrail_decode_errors_total", "counter",
+                "Datagrams that could not be decoded.");
     for (std::size_t index = 0; index < DecodeErrorNames.size(); ++index) {
         page.sample({{"socket", "data"}, {"cause", DecodeErrorNames[index]}},
                     static_cast<double>(counters.data.decodeErrors[index]));
         page.sample({{"socket", "peer"}, {"cause", DecodeErrorNames[index]}},
                     static_cast<double>(counters.peer.decodeErrors[index]));
     }
-    page.family("baobabtrail_messages_received_total", "counter", "Messages taken, by kind.");
+    page.family("baobabtrail_messages_received_total", "counter", "Messages accepted, by kind.");
     writeKinds(page, "caller", FlowMessageNames, counters.callerFlow);
     writeKinds(page, "caller", RequestMessageNames, counters.callerRequest);
     writeKinds(page, "target", FlowMessageNames, counters.targetIn);
@@ -68,7 +70,7 @@
 void writePlatform(Exposition &page, const Counters &counters)
 {
     page.family("baobabtrail_platform_calls_total", "counter",
-                "Calls to the platform that ended, by result.");
+                "Finished calls to the platform, by result.");
     for (std::size_t call = 0; call < PlatformCallNames.size(); ++call) {
         for (std::size_t result = 0; result < PlatformResultNames.size(); ++result) {
             if (counters.platform[call][result] == 0)
@@ -114,22 +116,23 @@
     const auto gauge = [&page](std::string_view name, std::string_view help, double value) {
         writeOne(page, name, "gauge", help, value);
     };
-    gauge("baobabtrail_config_revision", "Revision in force.",
+    gauge("baobabtrail_config_revision", "Configuration revision in force.",
           static_cast<double>(gauges.revision));
     gauge("baobabtrail_config_age_seconds",
-          "Since the configuration was last known to be the newest.", gauges.configAgeSeconds);
-    gauge("baobabtrail_requests_held", "Request records kept.",
+          "Time since the configuration was last confirmed to be the latest.",
+          gauges.configAgeSeconds);
+    gauge("baobabtrail_requests_held", "Request records held in memory.",
           static_cast<double>(gauges.requests));
-    gauge("baobabtrail_pending_opens", "Opens that wait for a target.",
+    gauge("baobabtrail_pending_opens", "Flow openings that wait for a target.",
           static_cast<double>(gauges.pendingOpens));
     gauge("baobabtrail_owned_targets", "Targets that this daemon owns.",
           static_cast<double>(gauges.ownedTargets));
-    gauge("baobabtrail_running_attempts", "Attempts that run at targets now.",
+    gauge("baobabtrail_running_attempts", "Attempts that run at targets.",
           static_cast<double>(gauges.runningAttempts));
-    gauge("baobabtrail_members_alive", "Members of the failure domain believed alive.",
+    gauge("baobabtrail_members_alive", "Members of the failure domain in the state alive.",
           static_cast<double>(gauges.membersAlive));
     gauge("baobabtrail_links", "Connections to targets.", static_cast<double>(gauges.links));
-    gauge("baobabtrail_owned_imbalance", "Most over mean of requests at owned targets.",
+    gauge("baobabtrail_owned_imbalance", "Maximum divided by mean of requests at owned targets.",
           gauges.ownedImbalance);
 }
 
--- a/src/daemon/metrics/metrics.h
+++ b/src/daemon/metrics/metrics.h
@@ -14,20 +14,20 @@
 template <std::size_t Size>
 using CounterArray = std::array<std::uint64_t, Size>;
 
-/// \brief Counts of one UDP socket.
+/// \brief Counters of one UDP socket.
 struct SocketCounters
 {
     std::uint64_t datagramsIn = 0;
     std::uint64_t datagramsOut = 0;
     std::uint64_t bytesIn = 0;
     std::uint64_t bytesOut = 0;
-    std::uint64_t sendDrops = 0; ///< The kernel's buffer was full.
+    std::uint64_t sendDrops = 0; ///< Dropped because the kernel's send buffer was full.
     std::uint64_t truncated = 0;
-    std::uint64_t badSource = 0; ///< No valid PROXY header, or not from the fabric.
+    std::uint64_t badSource = 0; ///< Without a valid PROXY header, or not from the fabric.
     CounterArray<DecodeErrorNames.size()> decodeErrors{};
 };
 
-/// \brief Counts of what passes between this daemon and the rest.
+/// \brief Counters of a daemon's communication, its log and its restarts.
 struct Counters
 {
     SocketCounters data;
@@ -41,18 +41,18 @@
     std::uint64_t fetchesAnswered = 0;
     std::uint64_t fetchesFailed = 0;
     std::uint64_t linksOpened = 0;
-    std::uint64_t linksFailed = 0; ///< Could not be made.
+    std::uint64_t linksFailed = 0; ///< Could not be established.
     std::uint64_t linksBroken = 0;
     std::uint64_t linkMessagesIn = 0;
     std::uint64_t linkMessagesOut = 0;
     std::uint64_t adminAccepted = 0;
     std::uint64_t adminUnauthorized = 0;
     std::array<CounterArray<PlatformResultNames.size()>, PlatformCallNames.size()> platform{};
-    std::map<std::string, std::uint64_t> restarts; ///< By child; their number is fixed.
+    std::map<std::string, std::uint64_t> restarts; ///< By child; the number of children is fixed.
     std::uint64_t logLinesLeftOut = 0;
 };
 
-/// \brief What is true now; read when the page is asked for.
+/// \brief Current values, read when the metrics page is requested.
 struct Gauges
 {
     std::uint64_t revision = 0;
@@ -63,19 +63,21 @@
     std::size_t runningAttempts = 0;
     std::size_t membersAlive = 0;
     std::size_t links = 0;
-    double ownedImbalance = 0; ///< Most over mean of running and waiting requests of owned targets.
+    /// Maximum divided by mean of the running and waiting requests of each owned target.
+    double ownedImbalance = 0;
 };
 
 /// \brief All metrics of a daemon.
 class Metrics
 {
 public:
+    /// \see WorkspaceMetrics
     explicit Metrics(std::size_t maxWorkspaces);
 
     [[nodiscard]] Counters &counters() noexcept { return m_counters; }
     [[nodiscard]] WorkspaceMetrics &workspaces() noexcept { return m_workspaces; }
 
-    /// \return The metrics page.
+    /// \return The metrics page, in the Prometheus text exposition format.
     [[nodiscard]] std::string page(const Gauges &gauges) const;
 
 private:
--- a/src/daemon/metrics/names.h
+++ b/src/daemon/metrics/names.h
@@ -7,7 +7,7 @@
 #include <string_view>
 
 /// \file
-/// \brief Names of enumerators as labels of metrics, each list in the order of its enumeration.
+/// \brief Names of enumerators in metric labels, each list in the order of its enumeration.
 
 namespace baobabtrail::daemon {
 
--- a/src/daemon/metrics/workspace_metrics.cpp
+++ b/src/daemon/metrics/workspace_metrics.cpp
@@ -125,13 +125,13 @@
         writeNamed(page, labels, "cause", RefusalNames, metrics.refusals);
     });
     page.family("baobabtrail_request_seconds", "histogram",
-                "From the reservation to the end of a request that was dispatched.");
+                "Time from the reservation to the end of a request that was dispatched.");
     forEachClass([&](const Labels &labels, const ClassMetrics &metrics) {
         if (metrics.total.count() != 0)
             metrics.total.write(page, labels);
     });
     page.family("baobabtrail_request_queued_seconds", "histogram",
-                "From the reservation to the dispatch of a request.");
+                "Time from the reservation to the dispatch of a request.");
     forEachClass([&](const Labels &labels, const ClassMetrics &metrics) {
         if (metrics.queued.count() != 0)
             metrics.queued.write(page, labels);
@@ -175,7 +175,8 @@
     forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "cause", ResetNames, entry.flowResets);
     });
-    page.family("baobabtrail_rejects_total", "counter", "Tokens and messages that were refused.");
+    page.family("baobabtrail_rejects_total", "counter",
+                "Tokens and messages that were rejected, by kind.");
     forEachWorkspace([&](const Labels &labels, const Entry &entry) {
         writeNamed(page, labels, "kind", RejectNames, entry.rejects);
     });
--- a/src/daemon/metrics/workspace_metrics.h
+++ b/src/daemon/metrics/workspace_metrics.h
@@ -12,22 +12,22 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Histograms and counts of each workspace and class.
+/// \brief Histograms and counters for each workspace and request class.
 ///
-/// Memory is bounded by the number of workspaces it was made for: those beyond it, and work for a
-/// service that the configuration doesn't name, share the workspace "other".
+/// Memory is bounded by a maximum number of workspaces. Workspaces beyond it, and traffic for
+/// services that the configuration doesn't contain, share the entry "other".
 class WorkspaceMetrics
 {
 public:
     explicit WorkspaceMetrics(std::size_t maxWorkspaces);
 
-    /// \brief Learns which service belongs to which workspace; drops what workspaces had that are
-    /// gone.
+    /// \brief Updates which service belongs to which workspace, and erases the entries of
+    /// workspaces that are no longer in the configuration.
     void configure(const Config &config);
     void observe(const Observation &observation);
     void write(Exposition &page) const;
 
-    /// \return Workspaces with an entry of their own.
+    /// \return The number of workspaces with an entry of their own.
     [[nodiscard]] std::size_t size() const noexcept { return m_workspaces.size(); }
 
 private:
