--- a/tests/daemon/line_output_test.cpp
+++ b/tests/daemon/line_output_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// \brief A pipe, closed at the end of the scope.
+/// \brief Owns both ends of a pipe.
 struct Pipe
 {
     Pipe() { cr_assert_eq(pipe2(ends, O_CLOEXEC), 0); }
@@ -34,7 +34,7 @@
             close(std::exchange(ends[1], -1));
     }
 
-    /// \return All that is in it, to the end of what writers send.
+    /// \return All data until the write end is closed.
     [[nodiscard]] std::string readAll() const
     {
         std::string all;
@@ -51,6 +51,7 @@
 
 } // namespace
 
+// Guards against lost or cut text when a line exceeds the capacity of the pipe.
 Test(lineOutput, aLineLongerThanThePipeArrivesWhole, .timeout = 30)
 {
     Pipe pipe;
@@ -63,8 +64,8 @@
     cr_assert_eq(pipe.readAll(), line + '\n');
 }
 
-// Guards against an end of the process that waits for a reader that has stopped, once for each
-// line.
+// Guards against a shutdown that waits for a stopped reader once per line, instead of once for all
+// lines.
 Test(lineOutput, allLinesAtShutdownShareOneTimeout, .timeout = 30)
 {
     Pipe pipe;
--- a/tests/daemon/log_limiter_test.cpp
+++ b/tests/daemon/log_limiter_test.cpp
@@ -7,9 +7,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::daemon;
 
-// Forged tokens arrive by the thousand, each with a line that differs only in its numbers.
-// A few are written each second, the next one says how many were left out, and a line of another
-// kind or part is written all the same.
+// Guards against a flood of lines that differ only in their numbers, as caused by thousands of
+// forged tokens. A few are written each second, the next one holds the number of suppressed lines,
+// and lines of another kind or part are still written.
 Test(logLimiter, floodOfOneKindLeavesRoomForOthers)
 {
     LogLimiter limiter{5};
@@ -27,8 +27,8 @@
     cr_assert(limiter.admit(Part::Flows, "token of flow 7 is forged", start + 1s) == 0);
 }
 
-// A caller chooses a text that ends up in log lines: each is of a kind of its own.
-// The table of kinds stays bounded and the part as a whole is limited.
+// Guards against a table of kinds that grows without bound, when a caller controls a text that ends
+// up in log lines, so that each line is of another kind. The part as a whole is limited then.
 Test(logLimiter, endlessKindsCountAsOne)
 {
     LogLimiter limiter{5};
--- a/tests/daemon/metrics_test.cpp
+++ b/tests/daemon/metrics_test.cpp
@@ -39,9 +39,8 @@
 
 } // namespace
 
-// A thousand workspaces are declared and a caller sends for services that don't exist.
-// Histograms for each would grow without bound, and the page with them; those beyond the bound
-// share one entry, and none of their counts is lost.
+// Guards against metrics that grow without bound, with a thousand workspaces and with traffic for
+// services that don't exist. Those beyond the bound share one entry, and no count is lost.
 Test(metrics, workspacesBeyondTheBoundShareOneEntry)
 {
     Metrics metrics{3};
--- a/tests/direct-system-known/serves_test.cpp
+++ b/tests/direct-system-known/serves_test.cpp
@@ -2,13 +2,13 @@
 
 using namespace baobabtrail::test;
 
-// Guards against openings that wait at daemons which have just come into rotation.
+// Guards against flow openings that are held up at daemons which have just come into rotation.
 Test(directSystemKnown, servesBothServices)
 {
     DirectSystem system;
     cr_assert_eq(system.askAll(), 2 * Callers);
     system.expectSound();
-    // Which daemon a flow goes to is a hash of free ports: any single one may have got none.
+    // A hash of free ports selects the daemon of a flow, so a single daemon may have received none.
     std::string pages;
     for (std::size_t index = 0; index < Daemons; ++index) {
         const std::string page = system.world.metricsOf(index);
--- a/tests/direct-system/direct_system_test.cpp
+++ b/tests/direct-system/direct_system_test.cpp
@@ -1,5 +1,5 @@
-// Real daemons, the store's stand-in, and targets, routers and callers that speak the published
-// packets, all on the loopback range.
+// Runs real daemons with stand-ins of the store, targets, routers and callers that use the
+// published packet format, all on loopback addresses.
 
 #include "ctl/top.h"
 #include "support/direct_system.h"
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr std::size_t LogFillingRounds = 10;
-constexpr std::size_t LogFillingRequestsPerRound = 20; ///< Of each caller and round.
+constexpr std::size_t LogFillingRequestsPerRound = 20; ///< Per caller.
 constexpr std::size_t LogFillingRequests = LogFillingRounds * LogFillingRequestsPerRound * Callers;
 
-/// \brief Has so many flows placed that the lines about them are more than a pipe holds.
+/// \brief Opens so many flows that the log lines about their placement exceed the capacity of a
+/// pipe.
 void fillLogs(World &world)
 {
     for (std::size_t round = 0; round < LogFillingRounds; ++round) {
@@ -30,8 +31,8 @@
 
 } // namespace
 
-// A feed is open; its daemon is asked to stop, and later another one is killed.
-// The stop ends in order, no flow breaks, and callers are served all the while.
+// Guards against broken flows when one daemon stops and another one is killed while feeds are open.
+// The stop has to end in order, and requests are answered throughout.
 Test(directSystem, feedsSurviveAStopAndAKill)
 {
     DirectSystem system;
@@ -48,7 +49,8 @@
     system.expectSound();
 }
 
-// A target drains: three seconds later no new flow may reach it, and its feeds go on.
+// Guards against new flows that reach a draining target: three seconds after the start of the drain
+// none may, while its open feeds continue.
 Test(directSystem, aDrainedTargetGetsNoNewFlow)
 {
     DirectSystem system;
@@ -59,7 +61,8 @@
     system.expectSound();
 }
 
-// The store is down; daemons are replaced one after the other, and take the view of their peers.
+// Guards against daemons that can't start while the store is down: daemons are replaced one after
+// the other, and have to copy the directory from their peers.
 Test(directSystem, daemonsAreReplacedWhileTheStoreIsDown)
 {
     DirectSystem system;
@@ -75,8 +78,8 @@
     system.expectSound();
 }
 
-// A route is added and one removed, while the store compacts its history.
-// Callers are told at once that nobody serves the removed one, and the new one works.
+// Guards against route changes that are missed because the store compacts its history between them.
+// Requests to the removed route have to be refused at once, and the added route has to be served.
 Test(directSystem, routesChangeWhileHistoryIsDropped)
 {
     DirectSystem system;
@@ -97,8 +100,9 @@
     cr_assert_eq(world.callerLog.singleAnswered - answered, Callers);
 }
 
-// An operator's configuration grows to some hundred routes, one at a time. Daemons that have it
-// from each other get what changed, not all of it each time: whole, these 119 versions have 700 KB.
+// Guards against daemons that copy the whole configuration from each other for every change: it
+// grows to some hundred routes, one at a time, and these 119 versions add up to 700 KB if sent
+// whole.
 Test(directSystem, aGrowingConfigurationTravelsAsChanges)
 {
     constexpr int first = 2;
@@ -125,9 +129,8 @@
     system.expectSound();
 }
 
-// The store moves to another address. Every daemon's settings file says so, and no daemon is
-// signalled. A route that is added afterwards has to be served: daemons that kept to the old
-// address would never hear of it.
+// Guards against daemons that apply a changed settings file only on a signal. The store moves to
+// another address; daemons that kept the old one would never get a route that is added afterwards.
 Test(directSystem, changedSettingsApplyWithoutASignal)
 {
     DirectSystem system;
@@ -147,7 +150,8 @@
     system.expectSound();
 }
 
-// An engineer on call looks at one daemon with baobabctl top: its view, its counters, its targets.
+// Guards against a baobabctl top that lacks the view, the counters or the targets of a daemon with
+// direct forwarding, queried at its metrics address.
 Test(directSystem, topShowsADaemonAtItsMetricsAddress)
 {
     DirectSystem system;
@@ -164,12 +168,12 @@
                           screen->c_str());
         screens += *screen;
     }
-    // Which daemon a flow goes to is a hash of free ports: any single one may have got none.
+    // A hash of free ports selects the daemon of a flow, so a single daemon may have received none.
     cr_assert_neq(screens.find("segments_total{service=\"lending\""), std::string::npos);
 }
 
-// Nobody reads what the daemons print any more: the pipe is full after 64 KB, some 190 placements.
-// Lines may be lost; no packet may wait for them.
+// Guards against forwarding that blocks on the log because its reader has stopped: the pipe is full
+// after 64 KB, some 190 placements. Log lines may be lost, but no packet may wait for them.
 Test(directSystem, aLogReaderThatHasStoppedBlocksNoPacket)
 {
     DirectSystem system{Process::Output::Unread};
@@ -181,7 +185,7 @@
     system.expectSound();
 }
 
-// Guards against a daemon that never ends, because nobody reads what it prints any more.
+// Guards against a daemon that never exits, because the reader of its log has stopped.
 Test(directSystem, aLogReaderThatHasStoppedDelaysNoStop, .timeout = 60)
 {
     DirectSystem system{Process::Output::Unread};
@@ -190,7 +194,7 @@
         cr_assert_eq(system.world.stopDaemon(index), 0);
 }
 
-// Guards against daemons that die with the process that reads their logs.
+// Guards against daemons that are killed by SIGPIPE when the process that reads their logs exits.
 Test(directSystem, aLogReaderThatIsGoneEndsNoDaemon, .timeout = 60)
 {
     DirectSystem system{Process::Output::Unread};
@@ -202,8 +206,8 @@
         cr_assert_eq(system.world.stopDaemon(index), 0);
 }
 
-// A target crashes, and its address goes to a target of the other service, which must never run
-// a request that was meant for the first.
+// Guards against requests that run at the wrong target: a target crashes and its address is reused
+// by a target of the other service, which must not run requests meant for the first.
 Test(directSystem, aReusedAddressGetsNoRequestOfItsPredecessor)
 {
     DirectSystem system;
