--- a/src/core/config/config_log.cpp
+++ b/src/core/config/config_log.cpp
@@ -26,17 +26,17 @@
 {
     // A record that comes late or twice must not take the configuration back.
     if (key <= revision())
-        return RecordKnown{};
+        return RecordAlreadyApplied{};
     if (key.value() != revision().value() + 1)
         return RecordGap{};
 
     auto decoded = decodeRecord(text, logKey(key));
     if (auto *finding = std::get_if<Finding>(&decoded))
-        return RecordBad{std::move(*finding)};
+        return RecordInvalid{std::move(*finding)};
     ChangeRecord &record = std::get<ChangeRecord>(decoded);
     ApplyResult applied = applyRecord(*m_config, record);
     if (!applied.findings.empty())
-        return RecordBad{{logKey(key), toString(applied.findings.front())}};
+        return RecordInvalid{{logKey(key), toString(applied.findings.front())}};
 
     m_config = std::make_shared<const Config>(std::move(applied.next));
     remember({record.changeId, key});
@@ -92,7 +92,7 @@
     return found->second;
 }
 
-std::string ConfigLog::changeAt(Revision wanted) const
+std::string ConfigLog::changeIdAt(Revision wanted) const
 {
     const auto found = std::lower_bound(
         m_changes.begin(), m_changes.end(), wanted,
@@ -134,7 +134,7 @@
     return {*m_config, {m_changes.begin(), m_changes.end()}};
 }
 
-std::vector<ChangeRecord> ConfigLog::keptRecords() const
+std::vector<ChangeRecord> ConfigLog::retainedRecords() const
 {
     std::vector<ChangeRecord> records;
     records.reserve(m_kept.size());
--- a/src/core/config/config_log.h
+++ b/src/core/config/config_log.h
@@ -18,7 +18,7 @@
 {
 };
 /// \brief The revision is in force already.
-struct RecordKnown
+struct RecordAlreadyApplied
 {
 };
 /// \brief Records in between are missing.
@@ -26,11 +26,11 @@
 {
 };
 /// \brief Damaged, of an unknown kind or not valid; the log stays at the revision before it.
-struct RecordBad
+struct RecordInvalid
 {
     Finding finding;
 };
-using AppendResult = std::variant<RecordApplied, RecordKnown, RecordGap, RecordBad>;
+using AppendResult = std::variant<RecordApplied, RecordAlreadyApplied, RecordGap, RecordInvalid>;
 
 /// \brief The configuration in force and the newest records that led to it.
 ///
@@ -55,12 +55,12 @@
     /// \return The revision that a change got, as far back as ids are kept.
     [[nodiscard]] std::optional<Revision> revisionOf(const std::string &changeId) const;
     /// \return The change that made \a revision; empty where it is no longer known.
-    [[nodiscard]] std::string changeAt(Revision revision) const;
+    [[nodiscard]] std::string changeIdAt(Revision revision) const;
 
     /// \brief Answers a peer that lacks records.
     [[nodiscard]] Records serve(const FetchRecords &request) const;
     [[nodiscard]] Snapshot snapshot() const;
-    [[nodiscard]] std::vector<ChangeRecord> keptRecords() const;
+    [[nodiscard]] std::vector<ChangeRecord> retainedRecords() const;
 
 private:
     struct Kept
--- a/src/core/config/log_reader.cpp
+++ b/src/core/config/log_reader.cpp
@@ -52,7 +52,7 @@
         const AppendResult appended = append(*revision, object.value);
         if (std::holds_alternative<RecordGap>(appended))
             return readMissing();
-        if (const auto *bad = std::get_if<RecordBad>(&appended))
+        if (const auto *bad = std::get_if<RecordInvalid>(&appended))
             return finish(LogBroken{bad->finding});
     }
     if (list.objects.size() >= LogPage)
@@ -78,7 +78,7 @@
 AppendResult LogReader::append(Revision key, const std::string &text)
 {
     AppendResult result = m_log.append(key, text);
-    if (const auto *bad = std::get_if<RecordBad>(&result)) {
+    if (const auto *bad = std::get_if<RecordInvalid>(&result)) {
         m_badRevision = key;
         reportBad(bad->finding);
     }
@@ -97,7 +97,7 @@
         if (!object)
             return finish(unreachable(result));
         const AppendResult appended = append(next, object->value);
-        if (const auto *bad = std::get_if<RecordBad>(&appended))
+        if (const auto *bad = std::get_if<RecordInvalid>(&appended))
             return finish(LogBroken{bad->finding});
         listLog();
     });
--- a/src/core/config/proposer.cpp
+++ b/src/core/config/proposer.cpp
@@ -85,7 +85,7 @@
         return refuse(attempt,
                       {"change: " + std::to_string(MaxRevisionsTried)
                        + " other changes came first; ask again"},
-                      m_log.changeAt(m_log.revision()));
+                      m_log.changeIdAt(m_log.revision()));
 
     ChangeRecord record = attempt->request.draft;
     record.revision = Revision{m_log.revision().value() + 1};
@@ -169,7 +169,8 @@
 void Proposer::onTaken(const AttemptPtr &attempt, const StoredObject &object)
 {
     const AppendResult appended = m_reader.append(attempt->revision, object.value);
-    if (std::holds_alternative<RecordBad>(appended) || std::holds_alternative<RecordGap>(appended))
+    if (std::holds_alternative<RecordInvalid>(appended)
+        || std::holds_alternative<RecordGap>(appended))
         return readLog(attempt);
     decide(attempt);
 }
@@ -188,7 +189,7 @@
     const auto &expected = attempt->request.expected;
     if (!expected || *expected == m_log.revision())
         return false;
-    const std::string winner = m_log.changeAt(Revision{expected->value() + 1});
+    const std::string winner = m_log.changeIdAt(Revision{expected->value() + 1});
     std::string finding = "expected revision " + std::to_string(expected->value())
                           + ": the newest is " + std::to_string(m_log.revision().value());
     if (!winner.empty())
--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -301,7 +301,7 @@
 
 std::vector<ChangeRecord> ControlNode::recentChanges() const
 {
-    return m_impl->log().keptRecords();
+    return m_impl->log().retainedRecords();
 }
 
 } // namespace baobabtrail
--- a/src/core/control/peer_fetcher.cpp
+++ b/src/core/control/peer_fetcher.cpp
@@ -89,7 +89,7 @@
     }
     for (const std::string &text : records.records) {
         last = Revision{last.value() + 1};
-        if (std::holds_alternative<RecordBad>(m_reader.append(last, text)))
+        if (std::holds_alternative<RecordInvalid>(m_reader.append(last, text)))
             return;
     }
 }
--- a/tests/config/apply_test.cpp
+++ b/tests/config/apply_test.cpp
@@ -237,17 +237,17 @@
         texts.push_back(encodeRecord(record));
     }
     cr_assert(std::holds_alternative<RecordGap>(log.append(Revision{2}, texts[1])));
-    cr_assert(std::holds_alternative<RecordBad>(log.append(Revision{1}, texts[1])));
+    cr_assert(std::holds_alternative<RecordInvalid>(log.append(Revision{1}, texts[1])));
     cr_assert(log.revision().isNull());
     for (std::uint64_t i = 1; i <= 3; ++i) {
         cr_assert(std::holds_alternative<RecordApplied>(log.append(Revision{i}, texts[i - 1])));
-        cr_assert(std::holds_alternative<RecordKnown>(log.append(Revision{1}, texts[0])));
+        cr_assert(std::holds_alternative<RecordAlreadyApplied>(log.append(Revision{1}, texts[0])));
         if (i == 1)
             oldSnapshot = encodeSnapshot(log.snapshot());
     }
     cr_assert(!log.install(oldSnapshot));
     cr_assert(log.revision() == Revision{3});
-    cr_assert(log.revisionOf("c3") == Revision{3} && log.changeAt(Revision{2}) == "c2");
+    cr_assert(log.revisionOf("c3") == Revision{3} && log.changeIdAt(Revision{2}) == "c2");
 
     ConfigLog booted;
     cr_assert(!booted.install(encodeSnapshot(log.snapshot())));
