--- a/src/core/config/config_log.cpp
+++ b/src/core/config/config_log.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t MaxKeptRecords = 512;
-constexpr std::size_t MaxKeptBytes = 4'000'000;
+constexpr std::size_t MaxRetainedRecords = 512;
+constexpr std::size_t MaxRetainedBytes = 4'000'000;
 constexpr std::size_t MaxChangeIds = 4096;
 constexpr std::size_t MaxServedBytes = 800'000;
 constexpr std::uint32_t MaxServedRecords = 256;
@@ -39,8 +39,8 @@
         return RecordInvalid{{logKey(key), toString(applied.findings.front())}};
 
     m_config = std::make_shared<const Config>(std::move(applied.next));
-    remember({record.changeId, key});
-    keep(std::move(record), text);
+    indexChange({record.changeId, key});
+    retain(std::move(record), text);
     return RecordApplied{};
 }
 
@@ -55,16 +55,16 @@
         return std::nullopt;
 
     m_config = std::make_shared<const Config>(std::move(taken.config));
-    m_kept.clear();
-    m_keptBytes = 0;
+    m_retained.clear();
+    m_retainedBytes = 0;
     m_changes.clear();
     m_changeRevisions.clear();
     for (AcceptedChange &change : taken.changes)
-        remember(std::move(change));
+        indexChange(std::move(change));
     return std::nullopt;
 }
 
-void ConfigLog::remember(AcceptedChange change)
+void ConfigLog::indexChange(AcceptedChange change)
 {
     m_changeRevisions.emplace(change.changeId, change.revision);
     m_changes.push_back(std::move(change));
@@ -74,13 +74,14 @@
     m_changes.pop_front();
 }
 
-void ConfigLog::keep(ChangeRecord record, std::string text)
+void ConfigLog::retain(ChangeRecord record, std::string text)
 {
-    m_keptBytes += text.size();
-    m_kept.push_back({std::move(record), std::move(text)});
-    while (m_kept.size() > MaxKeptRecords || (m_keptBytes > MaxKeptBytes && m_kept.size() > 1)) {
-        m_keptBytes -= m_kept.front().text.size();
-        m_kept.pop_front();
+    m_retainedBytes += text.size();
+    m_retained.push_back({std::move(record), std::move(text)});
+    while (m_retained.size() > MaxRetainedRecords
+           || (m_retainedBytes > MaxRetainedBytes && m_retained.size() > 1)) {
+        m_retainedBytes -= m_retained.front().text.size();
+        m_retained.pop_front();
     }
 }
 
@@ -110,7 +111,8 @@
         return reply;
 
     const bool reachesBack
-        = !m_kept.empty() && m_kept.front().record.revision.value() <= request.after.value() + 1;
+        = !m_retained.empty()
+          && m_retained.front().record.revision.value() <= request.after.value() + 1;
     if (!reachesBack) {
         reply.snapshotRevision = revision();
         reply.snapshotShards = encodeSnapshot(snapshot());
@@ -118,13 +120,14 @@
     }
 
     const std::size_t limit = std::min(request.limit, MaxServedRecords);
-    const std::size_t first = request.after.value() + 1 - m_kept.front().record.revision.value();
+    const std::size_t first
+        = request.after.value() + 1 - m_retained.front().record.revision.value();
     std::size_t bytes = 0;
-    for (std::size_t i = first; i < m_kept.size() && reply.records.size() < limit; ++i) {
-        bytes += m_kept[i].text.size();
+    for (std::size_t i = first; i < m_retained.size() && reply.records.size() < limit; ++i) {
+        bytes += m_retained[i].text.size();
         if (bytes > MaxServedBytes && !reply.records.empty())
             break;
-        reply.records.push_back(m_kept[i].text);
+        reply.records.push_back(m_retained[i].text);
     }
     return reply;
 }
@@ -137,8 +140,8 @@
 std::vector<ChangeRecord> ConfigLog::retainedRecords() const
 {
     std::vector<ChangeRecord> records;
-    records.reserve(m_kept.size());
-    for (const Kept &kept : m_kept)
+    records.reserve(m_retained.size());
+    for (const RetainedRecord &kept : m_retained)
         records.push_back(kept.record);
     return records;
 }
--- a/src/core/config/config_log.h
+++ b/src/core/config/config_log.h
@@ -63,18 +63,18 @@
     [[nodiscard]] std::vector<ChangeRecord> retainedRecords() const;
 
 private:
-    struct Kept
+    struct RetainedRecord
     {
         ChangeRecord record;
         std::string text;
     };
 
-    void remember(AcceptedChange change);
-    void keep(ChangeRecord record, std::string text);
+    void indexChange(AcceptedChange change);
+    void retain(ChangeRecord record, std::string text);
 
     ConfigPtr m_config;
-    std::deque<Kept> m_kept; ///< Without holes, up to the revision in force.
-    std::size_t m_keptBytes = 0;
+    std::deque<RetainedRecord> m_retained; ///< Without holes, up to the revision in force.
+    std::size_t m_retainedBytes = 0;
     std::deque<AcceptedChange> m_changes;
     std::unordered_map<std::string, Revision> m_changeRevisions;
 };
--- a/src/core/config/log_reader.cpp
+++ b/src/core/config/log_reader.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t LogPage = 64;
 constexpr std::uint32_t SnapshotPage = 16;
-constexpr Duration BadRecordReportPeriod = 60s;
+constexpr Duration InvalidRecordReportPeriod = 60s;
 
 [[nodiscard]] LogUnreachable unreachable(const PlatformResult &result)
 {
@@ -79,8 +79,8 @@
 {
     AppendResult result = m_log.append(key, text);
     if (const auto *bad = std::get_if<RecordInvalid>(&result)) {
-        m_badRevision = key;
-        reportBad(bad->finding);
+        m_invalidRevision = key;
+        reportInvalid(bad->finding);
     }
     return result;
 }
@@ -124,14 +124,14 @@
     std::vector<StoredSnapshot> snapshots = completeSnapshots(objects);
     while (!snapshots.empty() && m_log.revision() == before) {
         if (const auto finding = m_log.install(snapshots.back().shards))
-            reportBad(*finding);
+            reportInvalid(*finding);
         snapshots.pop_back();
     }
     if (m_log.revision() != before)
         return listLog();
     const Finding finding{logKey(Revision{before.value() + 1}),
                           "is missing, and no complete snapshot reaches past it"};
-    reportBad(finding);
+    reportInvalid(finding);
     finish(LogBroken{finding});
 }
 
@@ -143,11 +143,11 @@
         done(result);
 }
 
-void LogReader::reportBad(const Finding &finding)
+void LogReader::reportInvalid(const Finding &finding)
 {
-    if (m_badReportedAt && m_context.now() - *m_badReportedAt < BadRecordReportPeriod)
+    if (m_invalidReportedAt && m_context.now() - *m_invalidReportedAt < InvalidRecordReportPeriod)
         return;
-    m_badReportedAt = m_context.now();
+    m_invalidReportedAt = m_context.now();
     m_context.notice(Severity::Error, Part::Config,
                      toString(finding) + "; serving on revision "
                          + std::to_string(m_log.revision().value()));
--- a/src/core/config/log_reader.h
+++ b/src/core/config/log_reader.h
@@ -58,15 +58,15 @@
     void listSnapshots(const std::string &after, std::vector<StoredObject> found);
     void onSnapshots(const std::vector<StoredObject> &objects);
     void finish(const LogReadResult &result);
-    void reportBad(const Finding &finding);
+    void reportInvalid(const Finding &finding);
 
     ControlContext &m_context;
     ConfigLog &m_log;
     std::vector<Done> m_waiting;
     TimePoint m_startedAt{};
     std::optional<TimePoint> m_confirmedAt;
-    Revision m_badRevision;
-    std::optional<TimePoint> m_badReportedAt;
+    Revision m_invalidRevision;
+    std::optional<TimePoint> m_invalidReportedAt;
 };
 
 /// \brief One snapshot as found at the platform.
--- a/src/core/config/proposer.cpp
+++ b/src/core/config/proposer.cpp
@@ -10,8 +10,8 @@
 constexpr Duration ProposalTimeout = 8s;
 constexpr std::uint32_t MaxRevisionsTried = 64;
 constexpr std::size_t MaxQueuedProposals = 256;
-constexpr Duration FirstRetry = 100ms;
-constexpr Duration LongestRetry = 1s;
+constexpr Duration MinRetryDelay = 100ms;
+constexpr Duration MaxRetryDelay = 1s;
 
 [[nodiscard]] LogUnreachable asFailure(const PlatformResult &result)
 {
@@ -23,11 +23,11 @@
 } // namespace
 
 Proposer::Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
-                   ClearanceCheck clearance)
+                   ClearanceCheck quarantineCheck)
     : m_context(context)
     , m_log(log)
     , m_reader(reader)
-    , m_clearance(std::move(clearance))
+    , m_quarantineCheck(std::move(quarantineCheck))
 {
 }
 
@@ -35,7 +35,7 @@
 {
     auto attempt = std::make_shared<Attempt>();
     attempt->request = std::move(request);
-    attempt->backoff = Backoff{FirstRetry, LongestRetry};
+    attempt->backoff = Backoff{MinRetryDelay, MaxRetryDelay};
     if (m_queue.size() >= MaxQueuedProposals) {
         m_context.emit(ProposalDone{attempt->request.proposal,
                                     ProposalUnknown{"too many changes wait at this daemon"}});
@@ -52,7 +52,7 @@
         return;
     const AttemptPtr attempt = m_queue.front();
     attempt->deadline = m_context.now() + ProposalTimeout;
-    if (!answerKnown(attempt))
+    if (!finishIfAccepted(attempt))
         readLog(attempt);
 }
 
@@ -72,14 +72,14 @@
             return retryLater(attempt, *failure, &Proposer::readLog);
         // Whether this change stands behind the broken record can't be told.
         if (const auto *broken = std::get_if<LogBroken>(&result))
-            return giveUp(attempt, "the log can't be read: " + toString(broken->finding));
-        decide(attempt);
+            return finishUnknown(attempt, "the log can't be read: " + toString(broken->finding));
+        prepare(attempt);
     });
 }
 
-void Proposer::decide(const AttemptPtr &attempt)
+void Proposer::prepare(const AttemptPtr &attempt)
 {
-    if (answerKnown(attempt) || refuseUnexpected(attempt))
+    if (finishIfAccepted(attempt) || refuseOnRevisionMismatch(attempt))
         return;
     if (++attempt->tries > MaxRevisionsTried)
         return refuse(attempt,
@@ -111,14 +111,14 @@
 
 void Proposer::clear(const AttemptPtr &attempt, const ApplyResult &applied)
 {
-    m_clearance(applied.quarantined,
-                [this, attempt, effects = applied.effects](const Findings &findings) {
-                    if (!findings.empty())
-                        return refuse(attempt, toStrings(findings));
-                    if (attempt->request.dryRun)
-                        return finish(attempt, ProposalPreview{effects, m_log.revision()});
-                    write(attempt);
-                });
+    m_quarantineCheck(applied.quarantined,
+                      [this, attempt, effects = applied.effects](const Findings &findings) {
+                          if (!findings.empty())
+                              return refuse(attempt, toStrings(findings));
+                          if (attempt->request.dryRun)
+                              return finish(attempt, ProposalPreview{effects, m_log.revision()});
+                          write(attempt);
+                      });
 }
 
 void Proposer::write(const AttemptPtr &attempt)
@@ -162,20 +162,20 @@
         (void)m_reader.append(attempt->revision, object.value);
         return finish(attempt, ProposalAccepted{attempt->revision, false});
     }
-    onTaken(attempt, object);
+    onRevisionTaken(attempt, object);
 }
 
 // Another record has the revision: our create can never take effect there any more.
-void Proposer::onTaken(const AttemptPtr &attempt, const StoredObject &object)
+void Proposer::onRevisionTaken(const AttemptPtr &attempt, const StoredObject &object)
 {
     const AppendResult appended = m_reader.append(attempt->revision, object.value);
     if (std::holds_alternative<RecordInvalid>(appended)
         || std::holds_alternative<RecordGap>(appended))
         return readLog(attempt);
-    decide(attempt);
+    prepare(attempt);
 }
 
-bool Proposer::answerKnown(const AttemptPtr &attempt)
+bool Proposer::finishIfAccepted(const AttemptPtr &attempt)
 {
     const auto revision = m_log.revisionOf(attempt->request.draft.changeId);
     if (!revision)
@@ -184,7 +184,7 @@
     return true;
 }
 
-bool Proposer::refuseUnexpected(const AttemptPtr &attempt)
+bool Proposer::refuseOnRevisionMismatch(const AttemptPtr &attempt)
 {
     const auto &expected = attempt->request.expected;
     if (!expected || *expected == m_log.revision())
@@ -204,7 +204,7 @@
     finish(attempt, ProposalRefused{std::move(findings), std::move(winner), m_log.revision()});
 }
 
-void Proposer::giveUp(const AttemptPtr &attempt, const std::string &what)
+void Proposer::finishUnknown(const AttemptPtr &attempt, const std::string &what)
 {
     finish(attempt, ProposalUnknown{what});
 }
@@ -215,8 +215,8 @@
     const Duration wait = attempt->backoff.next(m_context.random(), failure.retryAfter);
     // Even where nothing was written now, an earlier call with this change id may have been.
     if (m_context.now() + wait > attempt->deadline)
-        return giveUp(attempt, "the platform gave no answer (" + failure.what
-                                   + "); ask again with the same change id");
+        return finishUnknown(attempt, "the platform gave no answer (" + failure.what
+                                          + "); ask again with the same change id");
     m_context.after(wait, [this, attempt, step] { (this->*step)(attempt); });
 }
 
--- a/src/core/config/proposer.h
+++ b/src/core/config/proposer.h
@@ -23,7 +23,8 @@
     /// against it.
     using ClearanceCheck = std::function<void(std::vector<QuarantineUse>, Cleared)>;
 
-    Proposer(ControlContext &context, ConfigLog &log, LogReader &reader, ClearanceCheck clearance);
+    Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
+             ClearanceCheck quarantineCheck);
 
     void propose(Propose request);
     /// \return Newest revision that this daemon wrote itself.
@@ -46,26 +47,26 @@
     void finish(const AttemptPtr &attempt, ProposalOutcome outcome);
 
     void readLog(const AttemptPtr &attempt);
-    void decide(const AttemptPtr &attempt);
+    void prepare(const AttemptPtr &attempt);
     void clear(const AttemptPtr &attempt, const ApplyResult &applied);
     void write(const AttemptPtr &attempt);
     void onWritten(const AttemptPtr &attempt, const PlatformResult &result);
     void readBack(const AttemptPtr &attempt);
     void onReadBack(const AttemptPtr &attempt, const StoredObject &object);
-    void onTaken(const AttemptPtr &attempt, const StoredObject &object);
+    void onRevisionTaken(const AttemptPtr &attempt, const StoredObject &object);
 
-    [[nodiscard]] bool answerKnown(const AttemptPtr &attempt);
-    [[nodiscard]] bool refuseUnexpected(const AttemptPtr &attempt);
+    [[nodiscard]] bool finishIfAccepted(const AttemptPtr &attempt);
+    [[nodiscard]] bool refuseOnRevisionMismatch(const AttemptPtr &attempt);
     void refuse(const AttemptPtr &attempt, std::vector<std::string> findings,
                 std::string winner = {});
-    void giveUp(const AttemptPtr &attempt, const std::string &what);
+    void finishUnknown(const AttemptPtr &attempt, const std::string &what);
     void retryLater(const AttemptPtr &attempt, const LogUnreachable &failure,
                     void (Proposer::*step)(const AttemptPtr &));
 
     ControlContext &m_context;
     ConfigLog &m_log;
     LogReader &m_reader;
-    ClearanceCheck m_clearance;
+    ClearanceCheck m_quarantineCheck;
     Revision m_lastWritten;
     std::deque<AttemptPtr> m_queue; ///< The first one is worked on.
 };
--- a/src/core/config/snapshot.cpp
+++ b/src/core/config/snapshot.cpp
@@ -13,7 +13,7 @@
 using impl::FieldReader;
 using impl::FormatError;
 
-constexpr std::size_t ShardBytes = 400'000; ///< Items of one shard together, about.
+constexpr std::size_t MaxShardItemBytes = 400'000; ///< Items of one shard together, about.
 
 [[nodiscard]] json::object toJson(const TargetConfig &target, ServiceId service)
 {
@@ -94,7 +94,7 @@
     void add(json::object item)
     {
         const std::size_t bytes = json::serialize(item).size();
-        if (m_shards.empty() || m_bytes + bytes > ShardBytes) {
+        if (m_shards.empty() || m_bytes + bytes > MaxShardItemBytes) {
             m_shards.emplace_back();
             m_bytes = 0;
         }
--- a/src/core/config/snapshot_writer.cpp
+++ b/src/core/config/snapshot_writer.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::uint32_t SnapshotPage = 16;
 constexpr std::uint32_t DeletesPerTick = 32;
-constexpr std::size_t SnapshotsKept = 2;
+constexpr std::size_t RetainedSnapshots = 2;
 
 /// A create that was sent long ago and arrives late must find its key taken, or the log would
 /// begin with a record that never was in force. No call stays under way for so long.
-constexpr std::chrono::seconds LeastRecordAge = std::chrono::hours{1};
+constexpr std::chrono::seconds MinRecordAge = std::chrono::hours{1};
 
 } // namespace
 
@@ -34,7 +34,8 @@
 
 bool SnapshotWriter::isDue() const
 {
-    return m_log.revision().value() >= m_newest.value() + m_context.settings().snapshotEvery;
+    return m_log.revision().value()
+           >= m_newestSnapshot.value() + m_context.settings().snapshotEvery;
 }
 
 void SnapshotWriter::list(const std::string &after, std::vector<StoredObject> found)
@@ -58,9 +59,9 @@
 {
     const std::vector<StoredSnapshot> complete = completeSnapshots(objects);
     if (!complete.empty())
-        m_newest = complete.back().revision;
-    if (complete.size() >= SnapshotsKept) {
-        m_compactTo = complete[complete.size() - SnapshotsKept].revision;
+        m_newestSnapshot = complete.back().revision;
+    if (complete.size() >= RetainedSnapshots) {
+        m_compactTo = complete[complete.size() - RetainedSnapshots].revision;
         for (const StoredObject &object : objects) {
             const auto key = parseSnapshotKey(object.key);
             if (key && key->revision < m_compactTo)
@@ -84,9 +85,9 @@
     const CreateObject request{shardKey(job->revision, job->written), job->shards[job->written]};
     m_context.call(request, [this, job](const PlatformResult &result) {
         // A conflict is an earlier try's shard; the manifest's checksums tell if it differs.
-        const bool there = std::holds_alternative<Written>(result)
-                           || std::holds_alternative<WriteConflict>(result);
-        if (!there) {
+        const bool exists = std::holds_alternative<Written>(result)
+                            || std::holds_alternative<WriteConflict>(result);
+        if (!exists) {
             m_busy = false;
             return;
         }
@@ -103,7 +104,7 @@
         m_busy = false;
         if (!std::holds_alternative<Written>(result))
             return;
-        m_newest = std::max(m_newest, job->revision);
+        m_newestSnapshot = std::max(m_newestSnapshot, job->revision);
         m_context.notice(Severity::Info, Part::Config,
                          "Wrote a snapshot of revision " + std::to_string(job->revision.value())
                              + " in " + std::to_string(job->shards.size()) + " parts");
@@ -131,7 +132,7 @@
 void SnapshotWriter::onOldRecords(const ObjectList &list)
 {
     auto keys = std::make_shared<std::vector<std::string>>();
-    const auto newest = (m_context.unixNow() - LeastRecordAge).time_since_epoch().count();
+    const auto newest = (m_context.unixNow() - MinRecordAge).time_since_epoch().count();
     for (const StoredObject &object : list.objects) {
         const auto revision = parseLogKey(object.key);
         if (!revision || *revision > m_compactTo)
--- a/src/core/config/snapshot_writer.h
+++ b/src/core/config/snapshot_writer.h
@@ -45,8 +45,8 @@
     ControlContext &m_context;
     ConfigLog &m_log;
     bool m_busy = false;
-    Revision m_newest;    ///< Newest complete snapshot that is known.
-    Revision m_compactTo; ///< Records up to this one are covered by two snapshots.
+    Revision m_newestSnapshot; ///< Newest complete snapshot that is known.
+    Revision m_compactTo;      ///< Records up to this one are covered by two snapshots.
     std::vector<std::string> m_oldSnapshots; ///< Keys of snapshots that are no longer needed.
 };
 
