--- a/src/core/config/proposer.cpp
+++ b/src/core/config/proposer.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 Proposer::Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
-                   ClearanceCheck quarantineCheck)
+                   QuarantineChecker quarantineCheck)
     : m_context(context)
     , m_log(log)
     , m_reader(reader)
--- a/src/core/config/proposer.h
+++ b/src/core/config/proposer.h
@@ -21,10 +21,10 @@
     using Cleared = std::function<void(Findings)>;
     /// \brief Finds out whether addresses in quarantine may be taken, and calls back with reasons
     /// against it.
-    using ClearanceCheck = std::function<void(std::vector<QuarantineUse>, Cleared)>;
+    using QuarantineChecker = std::function<void(std::vector<QuarantineUse>, Cleared)>;
 
     Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
-             ClearanceCheck quarantineCheck);
+             QuarantineChecker quarantineCheck);
 
     void propose(Propose request);
     /// \return Newest revision that this daemon wrote itself.
@@ -66,7 +66,7 @@
     ControlContext &m_context;
     ConfigLog &m_log;
     LogReader &m_reader;
-    ClearanceCheck m_quarantineCheck;
+    QuarantineChecker m_quarantineCheck;
     Revision m_lastWritten;
     std::deque<AttemptPtr> m_queue; ///< The first one is worked on.
 };
--- a/src/core/control/control_node.cpp
+++ b/src/core/control/control_node.cpp
@@ -86,7 +86,7 @@
     , m_watcher(m_context, m_log, m_reader, m_swim, [this] { return age(m_context.now()); })
     , m_quarantineCheck(m_context, m_swim)
     , m_proposer(m_context, m_log, m_reader,
-                 [this](std::vector<QuarantineUse> uses, Proposer::Cleared done) {
+                 [this](std::vector<QuarantineUse> uses, Proposer::QuarantineChecked done) {
                      m_quarantineCheck.check(std::move(uses), std::move(done));
                  })
     , m_published(m_log.config())
--- a/src/core/control/quarantine_check.cpp
+++ b/src/core/control/quarantine_check.cpp
@@ -16,7 +16,7 @@
 struct QuarantineCheck::PendingCheck
 {
     std::vector<QuarantineUse> uses;
-    Proposer::Cleared done;
+    Proposer::QuarantineChecked done;
     std::map<DaemonId, std::string> live; ///< With their failure domains.
     std::map<DaemonId, Revision> passed;
     std::size_t openQueries = 0;
@@ -29,7 +29,7 @@
     }
 };
 
-void QuarantineCheck::check(std::vector<QuarantineUse> uses, Proposer::Cleared done)
+void QuarantineCheck::check(std::vector<QuarantineUse> uses, Proposer::QuarantineChecked done)
 {
     auto pending = std::make_shared<PendingCheck>();
     pending->uses = std::move(uses);
--- a/src/core/control/quarantine_check.h
+++ b/src/core/control/quarantine_check.h
@@ -26,7 +26,7 @@
 
     /// \param uses The quarantined addresses that a change wants to use.
     /// \param done Called once with a finding for each address that is still blocked.
-    void check(std::vector<QuarantineUse> uses, Proposer::Cleared done);
+    void check(std::vector<QuarantineUse> uses, Proposer::QuarantineChecked done);
 
 private:
     struct PendingCheck;
