--- a/src/core/config/proposer.cpp
+++ b/src/core/config/proposer.cpp
@@ -103,13 +103,13 @@
         return refuse(attempt, {"change: takes " + std::to_string(attempt->text.size())
                                 + " bytes, more than " + std::to_string(MaxObjectBytes)});
     if (!applied.quarantined.empty())
-        return clear(attempt, applied);
+        return checkQuarantine(attempt, applied);
     if (attempt->request.dryRun)
         return finish(attempt, ProposalPreview{applied.effects, m_log.revision()});
     write(attempt);
 }
 
-void Proposer::clear(const AttemptPtr &attempt, const ApplyResult &applied)
+void Proposer::checkQuarantine(const AttemptPtr &attempt, const ApplyResult &applied)
 {
     m_quarantineCheck(applied.quarantined,
                       [this, attempt, effects = applied.effects](const Findings &findings) {
--- a/src/core/config/proposer.h
+++ b/src/core/config/proposer.h
@@ -18,10 +18,10 @@
 class Proposer
 {
 public:
-    using Cleared = std::function<void(Findings)>;
+    using QuarantineChecked = std::function<void(Findings)>;
     /// \brief Finds out whether addresses in quarantine may be taken, and calls back with reasons
     /// against it.
-    using QuarantineChecker = std::function<void(std::vector<QuarantineUse>, Cleared)>;
+    using QuarantineChecker = std::function<void(std::vector<QuarantineUse>, QuarantineChecked)>;
 
     Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
              QuarantineChecker quarantineCheck);
@@ -48,7 +48,7 @@
 
     void readLog(const AttemptPtr &attempt);
     void prepare(const AttemptPtr &attempt);
-    void clear(const AttemptPtr &attempt, const ApplyResult &applied);
+    void checkQuarantine(const AttemptPtr &attempt, const ApplyResult &applied);
     void write(const AttemptPtr &attempt);
     void onWritten(const AttemptPtr &attempt, const PlatformResult &result);
     void readBack(const AttemptPtr &attempt);
