--- a/src/core/config/log_reader.cpp
+++ b/src/core/config/log_reader.cpp
@@ -61,7 +61,7 @@
     finish(LogReadDone{list.latest});
 }
 
-bool LogReader::take(const ObjectList &list)
+bool LogReader::applyWatched(const ObjectList &list)
 {
     std::map<Revision, const std::string *> byRevision;
     for (const StoredObject &object : list.objects) {
--- a/src/core/config/log_reader.h
+++ b/src/core/config/log_reader.h
@@ -45,7 +45,7 @@
     /// \brief Reads to the end; callers that come while it runs share the result.
     void catchUp(Done done);
     /// \brief Takes records that came by a watch. \return Whether some in between are missing.
-    [[nodiscard]] bool take(const ObjectList &list);
+    [[nodiscard]] bool applyWatched(const ObjectList &list);
     /// \brief Takes one record and tells of a bad one, loudly but seldom.
     AppendResult append(Revision key, const std::string &text);
     /// \return When the platform last showed that nothing newer exists.
