--- a/src/core/control/watcher.cpp
+++ b/src/core/control/watcher.cpp
@@ -111,7 +111,7 @@
     m_version = std::max(m_version, list.latest);
     for (const StoredObject &object : list.objects)
         m_version = std::max(m_version, object.version);
-    if (m_reader.take(list))
+    if (m_reader.applyWatched(list))
         readLog(); // The watch skipped an object.
     // A watch that keeps returning at once without objects would cause a flood of calls.
     const bool tooShort = list.objects.empty() && m_context.now() - startedAt < MinWatchDuration;
