--- a/src/core/config/apply.cpp
+++ b/src/core/config/apply.cpp
@@ -38,7 +38,7 @@
         const bool known = config().workspaces.contains(command.workspace);
         config().workspaces[command.workspace]
             = WorkspaceConfig{command.workspace, command.keyHash};
-        effect(known ? "key changes" : "is declared");
+        addEffect(known ? "key changes" : "is declared");
     }
 
     void operator()(const DeclareService &command)
@@ -46,17 +46,17 @@
         const ServiceId id = serviceId(command.service.workspace, command.service.service);
         // Findings call workspaces tenants, as the operators' language does.
         if (!config().workspaces.contains(command.service.workspace))
-            return add("unknown tenant \"" + command.service.workspace + '"');
+            return addFinding("unknown tenant \"" + command.service.workspace + '"');
         if (const ServiceConfig *holder = config().service(id)) {
             const bool same = holder->workspace == command.service.workspace
                               && holder->name == command.service.service;
-            return add(same ? "is declared already"
-                            : "has the id of " + holder->workspace + '/' + holder->name
-                                  + "; choose another name");
+            return addFinding(same ? "is declared already"
+                                   : "has the id of " + holder->workspace + '/' + holder->name
+                                         + "; choose another name");
         }
         config().services[id] = ServiceConfig{
             id, command.service.workspace, command.service.service, command.limits, {}};
-        effect("is declared");
+        addEffect("is declared");
     }
 
     void operator()(const SetLimits &command)
@@ -65,7 +65,7 @@
         if (!service)
             return;
         service->limits = command.limits;
-        effect("limits change");
+        addEffect("limits change");
     }
 
     void operator()(const AddTarget &command)
@@ -78,26 +78,26 @@
         target.slots = command.slots;
         target.weight = command.weight;
         if (addTarget(command.target.service, std::move(target)))
-            effect("is added, active");
+            addEffect("is added, active");
     }
 
     void operator()(const DrainTarget &command)
     {
-        change(command.target, TargetState::Draining, {TargetState::Active});
+        changeState(command.target, TargetState::Draining, {TargetState::Active});
     }
     void operator()(const UndrainTarget &command)
     {
-        change(command.target, TargetState::Active, {TargetState::Draining});
+        changeState(command.target, TargetState::Active, {TargetState::Draining});
     }
     void operator()(const RetireTarget &command)
     {
-        change(command.target, TargetState::Retiring,
-               {TargetState::Active, TargetState::Draining, TargetState::Cut});
+        changeState(command.target, TargetState::Retiring,
+                    {TargetState::Active, TargetState::Draining, TargetState::Cut});
     }
     void operator()(const CutTarget &command)
     {
-        change(command.target, TargetState::Cut,
-               {TargetState::Active, TargetState::Draining, TargetState::Retiring});
+        changeState(command.target, TargetState::Cut,
+                    {TargetState::Active, TargetState::Draining, TargetState::Retiring});
     }
 
     void operator()(const RemoveTarget &command)
@@ -106,16 +106,16 @@
         if (!target)
             return;
         if (target->state != TargetState::Retiring)
-            return add("is " + std::string{toString(target->state)} + ", expected retiring");
+            return addFinding("is " + std::string{toString(target->state)} + ", expected retiring");
         // The owner that found the old target empty may be slow: meanwhile the name can have been
         // declared anew, and the new target is in use.
         if (target->generation != command.generation)
-            return add("is of generation " + std::to_string(target->generation.value()) + ", not "
-                       + std::to_string(command.generation.value()));
+            return addFinding("is of generation " + std::to_string(target->generation.value())
+                              + ", not " + std::to_string(command.generation.value()));
         const ServiceId service = serviceIdOf(command.target.service);
         quarantine(*target, service, m_record.unixSeconds);
         config().services[service].targets.erase(target->id);
-        effect("is removed; its addresses are in quarantine");
+        addEffect("is removed; its addresses are in quarantine");
     }
 
     void operator()(const SetWeight &command)
@@ -123,7 +123,8 @@
         TargetConfig *target = findTarget(command.target);
         if (!target)
             return;
-        effect("weight " + std::to_string(target->weight) + " → " + std::to_string(command.weight));
+        addEffect("weight " + std::to_string(target->weight) + " → "
+                  + std::to_string(command.weight));
         target->weight = command.weight;
     }
 
@@ -134,9 +135,9 @@
             return;
         // Any other state may hold flows, which would break without anyone having asked for it.
         if (target->state != TargetState::Cut)
-            return add("is " + std::string{toString(target->state)}
-                       + ": only a target that is cut can be moved; retire it, and add its"
-                         " addresses to the other service once it is removed");
+            return addFinding("is " + std::string{toString(target->state)}
+                              + ": only a target that is cut can be moved; retire it, and add its"
+                                " addresses to the other service once it is removed");
         const ServiceId from = serviceIdOf(command.target.service);
         TargetConfig moved = *target;
         // The cut ended its flows, so the time counts from there.
@@ -144,7 +145,7 @@
         config().services[from].targets.erase(target->id);
         moved.state = TargetState::Active;
         if (addTarget(command.to, std::move(moved)))
-            effect("moves to " + toString(command.to));
+            addEffect("moves to " + toString(command.to));
     }
 
     void operator()(const RotateKeys &command)
@@ -153,27 +154,27 @@
         // of daemons that are a revision behind.
         const std::uint32_t expected = config().keyEpoch.value() + 1;
         if (command.epoch.value() != expected)
-            return add("expected epoch " + std::to_string(expected));
+            return addFinding("expected epoch " + std::to_string(expected));
         config().keyEpoch = command.epoch;
-        effect("keys rotate");
+        addEffect("keys rotate");
     }
 
     void operator()(const EvacuateDomain &command)
     {
         if (config().evacuations.contains(command.domain))
-            return add("is evacuated already");
+            return addFinding("is evacuated already");
         if (setEvacuated(command.domain, true) == 0)
-            return add("no target is in it");
+            return addFinding("no target is in it");
         config().evacuations[command.domain] = {m_record.revision, m_record.unixSeconds};
-        effect("its targets get no new work");
+        addEffect("its targets get no new work");
     }
 
     void operator()(const RestoreDomain &command)
     {
         if (config().evacuations.erase(command.domain) == 0)
-            return add("is not evacuated");
+            return addFinding("is not evacuated");
         (void)setEvacuated(command.domain, false);
-        effect("its targets get new work again");
+        addEffect("its targets get new work again");
     }
 
 private:
@@ -214,11 +215,11 @@
         const auto *move = std::get_if<MoveTarget>(&command);
         if (own && (!move || move->to.workspace == m_record.workspace))
             return;
-        add("the key of tenant \"" + m_record.workspace + "\" may not change this");
+        addFinding("the key of tenant \"" + m_record.workspace + "\" may not change this");
     }
 
-    void add(std::string what) { m_result.findings.push_back({m_place, std::move(what)}); }
-    void effect(const std::string &what) { m_result.effects.push_back(m_name + ": " + what); }
+    void addFinding(std::string what) { m_result.findings.push_back({m_place, std::move(what)}); }
+    void addEffect(const std::string &what) { m_result.effects.push_back(m_name + ": " + what); }
 
     [[nodiscard]] static ServiceId serviceIdOf(const ServiceName &name)
     {
@@ -233,7 +234,7 @@
                           && found->second.name == name.service;
         if (same)
             return &found->second;
-        add("unknown service \"" + toString(name) + '"');
+        addFinding("unknown service \"" + toString(name) + '"');
         return nullptr;
     }
 
@@ -245,7 +246,7 @@
         const auto found = service->targets.find(targetId(service->id, name.target));
         if (found != service->targets.end() && found->second.name == name.target)
             return &found->second;
-        add("unknown target \"" + toString(name) + '"');
+        addFinding("unknown target \"" + toString(name) + '"');
         return nullptr;
     }
 
@@ -257,9 +258,10 @@
         target.id = targetId(service->id, target.name);
         const auto taken = service->targets.find(target.id);
         if (taken != service->targets.end()) {
-            add(taken->second.name == target.name
-                    ? "is a target already"
-                    : "has the id of target " + taken->second.name + "; choose another name");
+            addFinding(taken->second.name == target.name
+                           ? "is a target already"
+                           : "has the id of target " + taken->second.name
+                                 + "; choose another name");
             return false;
         }
         if (!addressesAreFree(target))
@@ -269,55 +271,56 @@
         target.evacuated = config().evacuations.contains(target.domain);
         target.stateSince = m_record.revision;
         target.stateSinceUnixSeconds = m_record.unixSeconds;
-        noteUse(target, toString(name) + '/' + target.name);
+        addUse(target, toString(name) + '/' + target.name);
         service->targets.emplace(target.id, std::move(target));
         return true;
     }
 
-    void change(const TargetName &name, TargetState to, std::initializer_list<TargetState> from)
+    void changeState(const TargetName &name, TargetState to,
+                     std::initializer_list<TargetState> from)
     {
         TargetConfig *target = findTarget(name);
         if (!target)
             return;
         const std::string was{toString(target->state)};
         if (target->state == to)
-            return add("is " + was + " already");
+            return addFinding("is " + was + " already");
         if (std::find(from.begin(), from.end(), target->state) == from.end())
-            return add("is " + was + " and can't become " + std::string{toString(to)});
+            return addFinding("is " + was + " and can't become " + std::string{toString(to)});
         target->state = to;
         target->stateSince = m_record.revision;
         target->stateSinceUnixSeconds = m_record.unixSeconds;
-        effect(was + " → " + std::string{toString(to)});
+        addEffect(was + " → " + std::string{toString(to)});
     }
 
     /// Built when the first target is added: a record of many targets would otherwise walk all
     /// targets once for each.
-    void buildUses()
+    void buildAddressUses()
     {
-        if (m_usesBuilt)
+        if (m_addressUsesBuilt)
             return;
-        m_usesBuilt = true;
+        m_addressUsesBuilt = true;
         for (const auto &[id, service] : config().services) {
             for (const auto &[targetId, target] : service.targets)
-                noteUse(target, service.workspace + '/' + service.name + '/' + target.name);
+                addUse(target, service.workspace + '/' + service.name + '/' + target.name);
         }
     }
 
-    void noteUse(const TargetConfig &target, const std::string &name)
+    void addUse(const TargetConfig &target, const std::string &name)
     {
-        m_uses[target.flows] = name;
-        m_uses[target.requests] = name;
+        m_addressUses[target.flows] = name;
+        m_addressUses[target.requests] = name;
     }
 
     [[nodiscard]] bool addressesAreFree(const TargetConfig &target)
     {
-        buildUses();
+        buildAddressUses();
         bool isFree = true;
         for (const Endpoint &address : {target.flows, target.requests}) {
-            const auto user = m_uses.find(address);
-            if (user == m_uses.end())
+            const auto user = m_addressUses.find(address);
+            if (user == m_addressUses.end())
                 continue;
-            add("address " + toString(address) + " is in use by " + user->second);
+            addFinding("address " + toString(address) + " is in use by " + user->second);
             isFree = false;
         }
         return isFree;
@@ -325,9 +328,9 @@
 
     void quarantine(const TargetConfig &target, ServiceId service, std::int64_t begin)
     {
-        buildUses();
+        buildAddressUses();
         for (const Endpoint &address : {target.flows, target.requests}) {
-            m_uses.erase(address);
+            m_addressUses.erase(address);
             const auto known
                 = [&](const QuarantinedAddress &entry) { return entry.address == address; };
             if (std::any_of(config().quarantine.begin(), config().quarantine.end(), known))
@@ -362,8 +365,8 @@
     ApplyResult m_result;
     std::string m_name;
     std::string m_place;
-    std::unordered_map<Endpoint, std::string> m_uses;
-    bool m_usesBuilt = false;
+    std::unordered_map<Endpoint, std::string> m_addressUses;
+    bool m_addressUsesBuilt = false;
 };
 
 } // namespace
