--- a/src/core/config/validate.cpp
+++ b/src/core/config/validate.cpp
@@ -36,10 +36,10 @@
         name("tenant", command.workspace);
         const std::string &hash = command.keyHash;
         if (hash.empty() || hash.size() > MaxKeyHashLength)
-            add("key hash has " + std::to_string(hash.size()) + " digits, expected 1 to "
-                + std::to_string(MaxKeyHashLength));
+            addFinding("key hash has " + std::to_string(hash.size()) + " digits, expected 1 to "
+                       + std::to_string(MaxKeyHashLength));
         if (!std::all_of(hash.begin(), hash.end(), isHexDigit))
-            add("key hash is not hexadecimal");
+            addFinding("key hash is not hexadecimal");
     }
     void operator()(const DeclareService &command)
     {
@@ -70,12 +70,12 @@
         target(command.target);
         service(command.to);
         if (command.to == command.target.service)
-            add("is a target of " + command.to.service + " already");
+            addFinding("is a target of " + command.to.service + " already");
     }
     void operator()(const RotateKeys &command)
     {
         if (command.epoch.isNull())
-            add("epoch 0 is not a key epoch");
+            addFinding("epoch 0 is not a key epoch");
     }
     void operator()(const EvacuateDomain &command) { name("failure domain", command.domain); }
     void operator()(const RestoreDomain &command) { name("failure domain", command.domain); }
@@ -86,12 +86,12 @@
     }
 
 private:
-    void add(std::string what) { m_findings.push_back({m_place, std::move(what)}); }
+    void addFinding(std::string what) { m_findings.push_back({m_place, std::move(what)}); }
 
     void name(const char *kind, const std::string &text)
     {
         if (const auto problem = checkName(text))
-            add(std::string{kind} + " name \"" + text + "\" " + *problem);
+            addFinding(std::string{kind} + " name \"" + text + "\" " + *problem);
     }
     void service(const ServiceName &service)
     {
@@ -107,8 +107,8 @@
     {
         if (value >= low && value <= high)
             return;
-        add(std::string{field} + " is " + std::to_string(value) + ", expected "
-            + std::to_string(low) + " to " + std::to_string(high));
+        addFinding(std::string{field} + " is " + std::to_string(value) + ", expected "
+                   + std::to_string(low) + " to " + std::to_string(high));
     }
     void limits(const ServiceLimits &limits)
     {
@@ -119,7 +119,7 @@
     void endpoint(const char *field, const Endpoint &endpoint)
     {
         if (endpoint.isNull() || endpoint.address == 0)
-            add(std::string{field} + " address is missing");
+            addFinding(std::string{field} + " address is missing");
     }
 
     const std::string &m_place;
