--- a/src/core/keys.cpp
+++ b/src/core/keys.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t MinSecretBytes = 32;
-constexpr std::size_t KeysOfEpoch = 3;
+constexpr std::size_t KeysPerEpoch = 3;
 constexpr char KdfContext[crypto_kdf_CONTEXTBYTES + 1] = "baobabtr";
 
 /// \brief Collects the fields of a token in a fixed layout for the MAC.
@@ -160,7 +160,7 @@
 KeyRing::EpochKeys KeyRing::derive(KeyEpoch epoch) const
 {
     EpochKeys keys{epoch, {}, {}, {}};
-    const std::uint64_t first = std::uint64_t{epoch.value()} * KeysOfEpoch;
+    const std::uint64_t first = std::uint64_t{epoch.value()} * KeysPerEpoch;
     crypto_kdf_derive_from_key(keys.flow.data(), keys.flow.size(), first, KdfContext,
                                m_master.data());
     crypto_kdf_derive_from_key(keys.reservation.data(), keys.reservation.size(), first + 1,
--- a/src/core/lenient_json.h
+++ b/src/core/lenient_json.h
@@ -16,10 +16,10 @@
 [[nodiscard]] inline boost::json::value parseLeniently(std::string_view text)
 {
     // Nothing on the platform is nested deeper than 8; bounded, since values are freed recursively.
-    constexpr std::size_t deepestNesting = 512;
+    constexpr std::size_t maxNesting = 512;
     boost::json::parse_options options;
     options.allow_invalid_utf8 = true;
-    options.max_depth = deepestNesting;
+    options.max_depth = maxNesting;
     return boost::json::parse({text.data(), text.size()}, {}, options);
 }
 
