--- a/tests/config/apply_test.cpp
+++ b/tests/config/apply_test.cpp
@@ -15,7 +15,7 @@
 const TargetName T1 = targetName("lending", "t1");
 
 /// \brief A configuration that is changed step by step.
-struct Steps
+struct ConfigFixture
 {
     Config config;
     std::int64_t unixSeconds = 1000;
@@ -42,11 +42,11 @@
     }
 };
 
-[[nodiscard]] Steps declared()
+[[nodiscard]] ConfigFixture declaredFixture()
 {
-    Steps steps;
-    steps.apply(declaration().commands);
-    return steps;
+    ConfigFixture fixture;
+    fixture.apply(declaration().commands);
+    return fixture;
 }
 
 void expectFinding(const ApplyResult &result, const std::string &part)
@@ -60,9 +60,9 @@
 
 } // namespace
 
-Test(apply, everyReasonIsReportedWithItsPlace)
+Test(apply, everyFindingIsReportedWithItsPlace)
 {
-    Steps steps = declared();
+    ConfigFixture fixture = declaredFixture();
     const ServiceName nowhere{"alexandria", "nowhere"};
     AddTarget taken = addTarget("lending", "t9", 1);
     AddTarget wrong = addTarget("lending", "-x", 7);
@@ -94,39 +94,40 @@
     };
     std::vector<Command> all;
     for (const auto &[command, finding] : refused) {
-        expectFinding(steps.attempt({command}), finding);
+        expectFinding(fixture.attempt({command}), finding);
         all.push_back(command);
     }
-    const ApplyResult together = steps.attempt(all);
+    const ApplyResult together = fixture.attempt(all);
     cr_assert(together.findings.size() >= refused.size());
     expectFinding(together, "command 18 (rotate-keys epoch 3): expected epoch 2");
 
-    expectFinding(steps.attempt({}), "commands: there are none");
+    expectFinding(fixture.attempt({}), "commands: there are none");
     ChangeRecord unnamed = change("", {DrainTarget{T1}});
     unnamed.revision = Revision{7};
-    expectFinding(applyRecord(steps.config, unnamed), "change id: is empty");
-    expectFinding(applyRecord(steps.config, unnamed), "revision: is not the one after 1");
+    expectFinding(applyRecord(fixture.config, unnamed), "change id: is empty");
+    expectFinding(applyRecord(fixture.config, unnamed), "revision: is not the one after 1");
 }
 
 // Guards against an evacuation that is lost by a daemon that boots from a snapshot, or that a
 // target added meanwhile escapes.
-Test(apply, anEvacuatedDomainStaysSoUntilItIsRestored)
+Test(apply, evacuationLastsUntilRestored)
 {
-    Steps steps = declared();
-    steps.apply({EvacuateDomain{"alx-raml"}});
-    expectFinding(steps.attempt({EvacuateDomain{"alx-raml"}}), "is evacuated already");
-    expectFinding(steps.attempt({RestoreDomain{"alx-raml"}}, "alexandria"), "may not change this");
-    steps.apply({addTarget("lending", "t2", 2)});
-    const auto decoded = decodeSnapshot(encodeSnapshot({steps.config, {}}));
-    cr_assert(std::get<Snapshot>(decoded).config == steps.config);
+    ConfigFixture fixture = declaredFixture();
+    fixture.apply({EvacuateDomain{"alx-raml"}});
+    expectFinding(fixture.attempt({EvacuateDomain{"alx-raml"}}), "is evacuated already");
+    expectFinding(fixture.attempt({RestoreDomain{"alx-raml"}}, "alexandria"),
+                  "may not change this");
+    fixture.apply({addTarget("lending", "t2", 2)});
+    const auto decoded = decodeSnapshot(encodeSnapshot({fixture.config, {}}));
+    cr_assert(std::get<Snapshot>(decoded).config == fixture.config);
     for (const char *name : {"t1", "t2"})
-        cr_assert(!steps.target(targetName("lending", name))->takesWork());
-    steps.apply({RestoreDomain{"alx-raml"}});
+        cr_assert(!fixture.target(targetName("lending", name))->takesWork());
+    fixture.apply({RestoreDomain{"alx-raml"}});
     for (const char *name : {"t1", "t2"})
-        cr_assert(steps.target(targetName("lending", name))->takesWork());
+        cr_assert(fixture.target(targetName("lending", name))->takesWork());
 }
 
-Test(apply, statesFollowTheirOrder)
+Test(apply, onlyListedStateChangesAreAllowed)
 {
     using enum TargetState;
     const std::vector<std::pair<TargetState, Command>> commands{{Draining, DrainTarget{T1}},
@@ -137,13 +138,13 @@
         {Active, Draining}, {Draining, Active}, {Active, Retiring}, {Draining, Retiring},
         {Cut, Retiring},    {Active, Cut},      {Draining, Cut},    {Retiring, Cut}};
     for (const auto &[from, reach] : commands) {
-        Steps steps = declared();
+        ConfigFixture fixture = declaredFixture();
         if (from == Active)
-            steps.apply({SetWeight{T1, 5}});
+            fixture.apply({SetWeight{T1, 5}});
         else
-            steps.apply({reach});
+            fixture.apply({reach});
         for (const auto &[to, command] : commands) {
-            const ApplyResult result = steps.attempt({command});
+            const ApplyResult result = fixture.attempt({command});
             cr_assert((allowed.contains({from, to})) == result.findings.empty(), "%s → %s",
                       std::string{toString(from)}.c_str(), std::string{toString(to)}.c_str());
             if (!result.findings.empty())
@@ -158,43 +159,43 @@
 // The owner of a retiring target finds it empty and is paused before it says so.
 // Meanwhile the target is removed and declared anew under its name. The late removal names the old
 // generation: taken, it would remove a target that is in use.
-Test(apply, lateRemovalSparesTheNewGeneration)
+Test(apply, lateRemovalOfAnOldGenerationIsRefused)
 {
-    Steps steps = declared();
-    steps.apply({RetireTarget{T1}});
-    steps.apply({RemoveTarget{T1, Generation{1}}});
-    cr_assert(steps.target(T1) == nullptr);
-    steps.apply({addTarget("lending", "t1", 1)});
-    steps.apply({RetireTarget{T1}});
-    expectFinding(steps.attempt({RemoveTarget{T1, Generation{1}}}), "is of generation 4, not 1");
-    steps.apply({RemoveTarget{T1, Generation{4}}});
+    ConfigFixture fixture = declaredFixture();
+    fixture.apply({RetireTarget{T1}});
+    fixture.apply({RemoveTarget{T1, Generation{1}}});
+    cr_assert(fixture.target(T1) == nullptr);
+    fixture.apply({addTarget("lending", "t1", 1)});
+    fixture.apply({RetireTarget{T1}});
+    expectFinding(fixture.attempt({RemoveTarget{T1, Generation{1}}}), "is of generation 4, not 1");
+    fixture.apply({RemoveTarget{T1, Generation{4}}});
 }
 
 // An address leaves lending. A daemon that has not heard of it still sends lending's packets there.
 // The same service may have it at once; another one's claim is handed to whoever accepts the
 // record, until the quarantine's time is over.
-Test(apply, addressesOfAnotherServiceAreInQuarantine)
+Test(apply, addressesOfARemovedTargetAreQuarantined)
 {
-    Steps steps = declared();
-    steps.apply({RetireTarget{T1}});
-    steps.apply({RemoveTarget{T1, Generation{1}}});
-    cr_assert(steps.config.quarantine.size() == 1);
+    ConfigFixture fixture = declaredFixture();
+    fixture.apply({RetireTarget{T1}});
+    fixture.apply({RemoveTarget{T1, Generation{1}}});
+    cr_assert(fixture.config.quarantine.size() == 1);
 
-    cr_assert(steps.attempt({addTarget("lending", "t2", 1)}).quarantined.empty());
-    const ApplyResult other = steps.attempt({addTarget("catalogue", "t1", 1)});
+    cr_assert(fixture.attempt({addTarget("lending", "t2", 1)}).quarantined.empty());
+    const ApplyResult other = fixture.attempt({addTarget("catalogue", "t1", 1)});
     cr_assert(other.findings.empty() && other.quarantined.size() == 1);
     cr_assert(other.quarantined[0].since == Revision{2}); // It got no new work from there on.
     cr_assert(other.next.quarantine.empty());
 
-    steps.unixSeconds += 600;
-    cr_assert(steps.attempt({addTarget("catalogue", "t1", 1)}).quarantined.empty());
+    fixture.unixSeconds += 600;
+    cr_assert(fixture.attempt({addTarget("catalogue", "t1", 1)}).quarantined.empty());
 }
 
-Test(apply, cutTargetMovesUnderTheSameRule)
+Test(apply, addressesOfAMovedTargetAreQuarantined)
 {
-    Steps steps = declared();
-    steps.apply({CutTarget{T1}});
-    const ApplyResult moved = steps.attempt({MoveTarget{T1, {"alexandria", "catalogue"}}});
+    ConfigFixture fixture = declaredFixture();
+    fixture.apply({CutTarget{T1}});
+    const ApplyResult moved = fixture.attempt({MoveTarget{T1, {"alexandria", "catalogue"}}});
     cr_assert(moved.findings.empty() && moved.quarantined.size() == 1);
     cr_assert(moved.quarantined[0].since == Revision{2});
     const ServiceId catalogue = serviceId("alexandria", "catalogue");
@@ -204,11 +205,11 @@
     cr_assert(moved.next.service(serviceId("alexandria", "lending"))->targets.empty());
 }
 
-Test(apply, workspaceChangesItsOwnServicesOnly)
+Test(apply, workspaceKeyChangesOnlyItsOwnServices)
 {
-    Steps steps = declared();
-    steps.apply({DeclareWorkspace{"viti", "cd"}, DeclareService{{"viti", "boarding"}, {}}});
-    cr_assert(steps.attempt({DrainTarget{T1}}, "alexandria").findings.empty());
+    ConfigFixture fixture = declaredFixture();
+    fixture.apply({DeclareWorkspace{"viti", "cd"}, DeclareService{{"viti", "boarding"}, {}}});
+    cr_assert(fixture.attempt({DrainTarget{T1}}, "alexandria").findings.empty());
     const std::vector<Command> foreign{DrainTarget{T1},
                                        addTarget("lending", "t3", 3),
                                        DeclareService{{"alexandria", "x"}, {}},
@@ -216,15 +217,15 @@
                                        DeclareWorkspace{"viti", "ef"},
                                        RotateKeys{KeyEpoch{2}}};
     for (const Command &command : foreign)
-        expectFinding(steps.attempt({command}, "viti"), "the key of tenant \"viti\"");
-    steps.apply({CutTarget{T1}});
-    expectFinding(steps.attempt({MoveTarget{T1, {"viti", "boarding"}}}, "alexandria"),
+        expectFinding(fixture.attempt({command}, "viti"), "the key of tenant \"viti\"");
+    fixture.apply({CutTarget{T1}});
+    expectFinding(fixture.attempt({MoveTarget{T1, {"viti", "boarding"}}}, "alexandria"),
                   "the key of tenant \"alexandria\"");
 }
 
 // Records reach a daemon late, twice and out of order, and snapshots of an older revision too.
 // The revision in force must go up one by one and never back.
-Test(configLog, goesForwardOnly)
+Test(configLog, revisionOnlyIncreases)
 {
     ConfigLog log;
     std::vector<std::string> texts;
--- a/tests/config/record_codec_test.cpp
+++ b/tests/config/record_codec_test.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Test(recordCodec, everyCommandSurvivesTheLog)
+Test(recordCodec, everyCommandRoundTrips)
 {
     const ChangeRecord record = everyCommand();
     cr_assert(record.commands.size() == std::variant_size_v<Command>);
@@ -59,7 +59,7 @@
 
 // The store hands back a damaged object, or one that a newer version wrote.
 // Whatever changes, the text must not be taken for another valid record: daemons would differ.
-Test(recordCodec, anyChangedByteIsFound)
+Test(recordCodec, anyChangedByteIsDetected)
 {
     const std::string text = encodeRecord(everyCommand());
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -87,7 +87,7 @@
     cr_assert(findingOf(sealAnew(nameless)) == "config/log/7: command 1: lacks \"key-hash\"");
 }
 
-Test(snapshot, survivesItsShards)
+Test(snapshot, roundTripsThroughShards)
 {
     Snapshot snapshot;
     Config &config = snapshot.config;
