--- a/tests/tokens/flow_token_test.cpp
+++ b/tests/tokens/flow_token_test.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-[[nodiscard]] std::vector<std::byte> secretOf(unsigned char fill)
+[[nodiscard]] std::vector<std::byte> makeSecret(unsigned char fill)
 {
     return std::vector<std::byte>(32, std::byte{fill});
 }
 
-[[nodiscard]] FlowToken lendingToken()
+[[nodiscard]] FlowToken makeToken()
 {
     FlowToken token;
     token.service = serviceId("alexandria", "lending");
@@ -28,34 +28,34 @@
 
 Test(flowToken, acceptedByEveryDaemonThatSharesTheSecret)
 {
-    const KeyRing issuer{secretOf(1), KeyEpoch{1}};
-    const KeyRing booted{secretOf(1), KeyEpoch{1}};
-    const FlowToken token = issuer.sealFlow(FlowId{42}, lendingToken());
+    const KeyRing issuer{makeSecret(1), KeyEpoch{1}};
+    const KeyRing booted{makeSecret(1), KeyEpoch{1}};
+    const FlowToken token = issuer.sealFlow(FlowId{42}, makeToken());
     cr_assert(booted.checkFlow(FlowId{42}, token) == TokenError::None);
 }
 
 Test(flowToken, refusedForAnotherFlowServiceOrSecret)
 {
-    const KeyRing keys{secretOf(1), KeyEpoch{1}};
-    const FlowToken token = keys.sealFlow(FlowId{42}, lendingToken());
+    const KeyRing keys{makeSecret(1), KeyEpoch{1}};
+    const FlowToken token = keys.sealFlow(FlowId{42}, makeToken());
     cr_assert(keys.checkFlow(FlowId{43}, token) == TokenError::BadMac);
 
     FlowToken forged = token;
     forged.service = serviceId("alexandria", "catalogue");
     cr_assert(keys.checkFlow(FlowId{42}, forged) == TokenError::BadMac);
 
-    const KeyRing other{secretOf(2), KeyEpoch{1}};
+    const KeyRing other{makeSecret(2), KeyEpoch{1}};
     cr_assert(other.checkFlow(FlowId{42}, token) == TokenError::BadMac);
 }
 
 // A caller's feed is hours old when the keys are rotated.
 // One rotation on, daemons with the old and the new epoch both serve it; two on, it is refused.
-Test(flowToken, outlivesOneRotationOnDaemonsOfEitherEpoch)
+Test(flowToken, acceptedAcrossOneKeyRotation)
 {
-    const KeyRing old{secretOf(1), KeyEpoch{1}};
-    KeyRing rotated{secretOf(1), KeyEpoch{2}};
-    const FlowToken before = old.sealFlow(FlowId{42}, lendingToken());
-    const FlowToken after = rotated.sealFlow(FlowId{42}, lendingToken());
+    const KeyRing old{makeSecret(1), KeyEpoch{1}};
+    KeyRing rotated{makeSecret(1), KeyEpoch{2}};
+    const FlowToken before = old.sealFlow(FlowId{42}, makeToken());
+    const FlowToken after = rotated.sealFlow(FlowId{42}, makeToken());
     cr_assert(rotated.checkFlow(FlowId{42}, before) == TokenError::None);
     cr_assert(old.checkFlow(FlowId{42}, after) == TokenError::None);
 
@@ -65,7 +65,7 @@
 
 Test(reservation, refusedForAnotherRequest)
 {
-    const KeyRing keys{secretOf(1), KeyEpoch{1}};
+    const KeyRing keys{makeSecret(1), KeyEpoch{1}};
     ReservationToken token;
     token.owner = DaemonId{7};
     const ReservationToken sealed = keys.sealReservation(RequestId{1, 2}, token);
