--- a/src/core/config/apply.cpp
+++ b/src/core/config/apply.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// \brief Applies the commands of one record in order; a command that is refused changes nothing.
+/// \brief Applies the commands of one record in order; a refused command changes nothing, and the
+/// ones after it are still checked.
 class RecordApplier
 {
 public:
@@ -44,7 +45,7 @@
     void operator()(const DeclareService &command)
     {
         const ServiceId id = serviceId(command.service.workspace, command.service.service);
-        // Findings call workspaces tenants, as the operators' language does.
+        // Findings say tenant for workspace, as the operators' command language does.
         if (!config().workspaces.contains(command.service.workspace))
             return addFinding("unknown tenant \"" + command.service.workspace + '"');
         if (const ServiceConfig *holder = config().service(id)) {
@@ -107,8 +108,8 @@
             return;
         if (target->state != TargetState::Retiring)
             return addFinding("is " + std::string{toString(target->state)} + ", expected retiring");
-        // The owner that found the old target empty may be slow: meanwhile the name can have been
-        // declared anew, and the new target is in use.
+        // The owner that found the retiring target empty may be slow. Meanwhile a new target can
+        // have been added under the same name, which must not be removed.
         if (target->generation != command.generation)
             return addFinding("is of generation " + std::to_string(target->generation.value())
                               + ", not " + std::to_string(command.generation.value()));
@@ -133,14 +134,14 @@
         TargetConfig *target = findTarget(command.target);
         if (!target)
             return;
-        // Any other state may hold flows, which would break without anyone having asked for it.
+        // A target in any other state may hold flows, which the move would break unrequested.
         if (target->state != TargetState::Cut)
             return addFinding("is " + std::string{toString(target->state)}
                               + ": only a target that is cut can be moved; retire it, and add its"
                                 " addresses to the other service once it is removed");
         const ServiceId from = serviceIdOf(command.target.service);
         TargetConfig moved = *target;
-        // The cut ended its flows, so the time counts from there.
+        // The cut ended its flows, so the quarantine counts from the time of the cut.
         quarantine(*target, from, target->stateSinceUnixSeconds);
         config().services[from].targets.erase(target->id);
         moved.state = TargetState::Active;
@@ -150,8 +151,8 @@
 
     void operator()(const RotateKeys &command)
     {
-        // Daemons accept the epochs next to their own only: a step of two would refuse the tokens
-        // of daemons that are a revision behind.
+        // Daemons accept only the epochs adjacent to their own: after a step of two they would
+        // refuse the tokens of daemons that are one revision behind.
         const std::uint32_t expected = config().keyEpoch.value() + 1;
         if (command.epoch.value() != expected)
             return addFinding("expected epoch " + std::to_string(expected));
@@ -293,8 +294,8 @@
         addEffect(was + " → " + std::string{toString(to)});
     }
 
-    /// Built when the first target is added: a record of many targets would otherwise walk all
-    /// targets once for each.
+    /// \brief Indexes the addresses in use, so that a record that adds many targets doesn't scan
+    /// all targets for each. Built on first use, since most records don't need it.
     void buildAddressUses()
     {
         if (m_addressUsesBuilt)
@@ -340,7 +341,8 @@
         }
     }
 
-    /// Takes a target's addresses out of quarantine, and notes those that another service left.
+    /// \brief Removes a target's addresses from quarantine, and reports those that another service
+    /// used before.
     void release(const TargetConfig &target, ServiceId service)
     {
         const auto isOf = [&](const QuarantinedAddress &entry) {
--- a/src/core/config/apply.h
+++ b/src/core/config/apply.h
@@ -5,33 +5,36 @@
 
 namespace baobabtrail {
 
-/// \brief An address that a record takes although another service's target had it not long ago.
+/// \brief A quarantined address that a record assigns to a target of another service.
 struct QuarantineUse
 {
-    std::string place;
+    std::string place; ///< The command that assigns the address. \see Finding::place
     Endpoint address;
-    Revision since; ///< Revision from which on the old target got no new work.
+    Revision since; ///< Revision from which the previous target received no new work.
 };
 
-/// \brief What a record makes of a configuration.
+/// \brief Result of applying a record to a configuration.
 struct ApplyResult
 {
-    Config next; ///< Only of use where there are no findings.
+    Config next; ///< The new configuration; meaningless if there are findings.
     Findings findings;
-    /// Addresses that only knowledge about the daemons can release. Whoever accepts the record
-    /// has to check it; whoever replays it must not, since daemons know different things.
+    /// Quarantined addresses that the record reuses. Whether that is safe depends on what the
+    /// daemons have applied, so it must be checked when the record is accepted. It must not be
+    /// checked when the record is replayed, since daemons have different knowledge of each other.
     std::vector<QuarantineUse> quarantined;
-    std::vector<std::string> effects; ///< What changes, one line each.
+    std::vector<std::string> effects; ///< Description of the changes, one line each.
 };
 
-/// \brief Works out the configuration after \a record; the same on every daemon.
+/// \brief Computes the configuration that results from \a record.
+///
+/// Deterministic: every daemon gets the same result from the same record.
 ///
 /// \code
 /// ApplyResult result = applyRecord(*config, record);
 /// if (!result.findings.empty())
 ///     report(result.findings);
 /// \endcode
-/// \param record Its revision is the one after the configuration's.
+/// \param record Its revision must be the one after the configuration's; any other is a finding.
 [[nodiscard]] ApplyResult applyRecord(const Config &config, const ChangeRecord &record);
 
 [[nodiscard]] std::string_view toString(TargetState state) noexcept;
--- a/src/core/config/change.h
+++ b/src/core/config/change.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail {
 
-/// \brief Names a service as operators do.
+/// \brief Name of a service as operators write it: workspace and service.
 struct ServiceName
 {
     std::string workspace;
@@ -18,7 +18,7 @@
     friend bool operator==(const ServiceName &, const ServiceName &) = default;
 };
 
-/// \brief Names a target as operators do.
+/// \brief Name of a target as operators write it: workspace, service and target.
 struct TargetName
 {
     ServiceName service;
@@ -58,7 +58,8 @@
 {
     TargetName target;
 };
-/// \brief Ends a retire; issued by the target's owner once the target holds nothing.
+/// \brief Completes a RetireTarget. The target's owner issues it once the target holds no flow and
+/// runs no request.
 struct RemoveTarget
 {
     TargetName target;
@@ -78,7 +79,8 @@
     TargetName target;
     std::uint32_t weight = 100;
 };
-/// \brief Gives a target's addresses to another service: removes it here, declares it there.
+/// \brief Moves a target to another service: removes it from its service and adds it to \a to with
+/// the same addresses.
 struct MoveTarget
 {
     TargetName target;
@@ -88,7 +90,7 @@
 {
     KeyEpoch epoch;
 };
-/// \brief The domain's targets get no new work; flows and requests that they hold stay.
+/// \brief Stops new work to all targets of a failure domain; their flows and requests continue.
 struct EvacuateDomain
 {
     std::string domain;
@@ -102,18 +104,18 @@
                              UndrainTarget, RetireTarget, RemoveTarget, CutTarget, SetLimits,
                              SetWeight, MoveTarget, RotateKeys, EvacuateDomain, RestoreDomain>;
 
-/// \brief One entry of the log of changes.
+/// \brief One record of the configuration log: commands that are applied atomically.
 struct ChangeRecord
 {
     Revision revision;
-    std::string changeId; ///< Chosen by whoever asks for the change; makes asking again harmless.
+    std::string changeId; ///< Idempotency key, chosen by whoever requests the change.
     std::string author;
-    std::string workspace; ///< Whose key was used; empty for an operator of the whole system.
+    std::string workspace; ///< Workspace whose key was used; empty for a system-wide operator.
     std::int64_t unixSeconds = 0;
-    /// How long addresses that this record frees stay in quarantine. It travels in the record, so
-    /// that daemons with other settings work out the same configuration.
+    /// How long addresses that this record releases stay in quarantine. Stored in the record so
+    /// that daemons with different settings compute the same configuration.
     std::int64_t quarantineSeconds = 600;
-    std::vector<Command> commands; ///< In force together or not at all.
+    std::vector<Command> commands; ///< Applied all together or not at all.
 };
 
 } // namespace baobabtrail
--- a/src/core/config/config.h
+++ b/src/core/config/config.h
@@ -10,12 +10,12 @@
 
 namespace baobabtrail {
 
-/// \brief What operators want of a target.
+/// \brief Administrative state of a target, as set by operators.
 enum class TargetState {
     Active,
-    Draining, ///< No new work; flows stay until they end. Can be undone.
-    Retiring, ///< As Draining, and removed once it holds no flow and runs no request.
-    Cut,      ///< Flows are reset; the only state that breaks flows, only by explicit command.
+    Draining, ///< Gets no new work; existing flows continue until they end. Can be undone.
+    Retiring, ///< Like Draining, and removed once it holds no flow and runs no request.
+    Cut,      ///< Its flows are reset. The only state that breaks flows; set by command only.
 };
 
 struct TargetConfig
@@ -24,16 +24,16 @@
     Generation generation;
     std::string name;
     std::string domain;
-    Endpoint flows;    ///< UDP.
-    Endpoint requests; ///< TCP.
+    Endpoint flows;    ///< Address for flows, UDP.
+    Endpoint requests; ///< Address for requests, TCP.
     TargetState state = TargetState::Active;
-    bool evacuated = false;     ///< Its failure domain is. \see Config::evacuations
-    std::uint32_t slots = 1;    ///< Requests that it runs at once.
+    bool evacuated = false;     ///< Whether its failure domain is. \see Config::evacuations
+    std::uint32_t slots = 1;    ///< Requests that it can run concurrently.
     std::uint32_t weight = 100; ///< Share of new flows, relative to the other targets.
-    Revision stateSince;
+    Revision stateSince;        ///< Revision that set the current state.
     std::int64_t stateSinceUnixSeconds = 0; ///< Wall clock of the daemon that accepted the state.
 
-    /// \return Whether it may get new work, as far as operators want.
+    /// \return Whether operators allow it new work; its health isn't considered.
     [[nodiscard]] bool takesWork() const noexcept
     {
         return state == TargetState::Active && !evacuated;
@@ -42,12 +42,12 @@
     friend bool operator==(const TargetConfig &, const TargetConfig &) = default;
 };
 
-/// \brief Bounds of a service; each has a default that suits the sizes of docs/CAPACITY.md.
+/// \brief Limits of a service; the defaults suit the sizes given in docs/CAPACITY.md.
 struct ServiceLimits
 {
-    std::uint32_t queuePerSlot = 4; ///< Requests that wait at an owner for each slot of a target.
-    std::uint32_t workspaceShare = 100; ///< Weight of the workspace in a daemon's full queues.
-    std::uint32_t retryPercent = 10;    ///< Retries allowed for every hundred first attempts.
+    std::uint32_t queuePerSlot = 4;     ///< Requests queued at an owner per slot of a target.
+    std::uint32_t workspaceShare = 100; ///< Weight of the workspace when queues are full.
+    std::uint32_t retryPercent = 10;    ///< Retries allowed, as a percentage of first attempts.
 
     friend bool operator==(const ServiceLimits &, const ServiceLimits &) = default;
 };
@@ -63,7 +63,9 @@
     friend bool operator==(const ServiceConfig &, const ServiceConfig &) = default;
 };
 
-/// \brief An address that a target has left and that no other service may take yet.
+/// \brief An address that a target no longer uses and that other services must not reuse yet.
+///
+/// A daemon with an older configuration may still send the previous service's traffic to it.
 struct QuarantinedAddress
 {
     Endpoint address;
@@ -91,7 +93,7 @@
     friend bool operator==(const WorkspaceConfig &, const WorkspaceConfig &) = default;
 };
 
-/// \brief The configuration at one revision; never changed once made.
+/// \brief The configuration at one revision; immutable once in force.
 struct Config
 {
     Revision revision;
