--- a/src/core/config/config_log.cpp
+++ b/src/core/config/config_log.cpp
@@ -24,7 +24,7 @@
 
 AppendResult ConfigLog::append(Revision key, const std::string &text)
 {
-    // A record that comes late or twice must not take the configuration back.
+    // A late or duplicate record must not revert the configuration.
     if (key <= revision())
         return RecordAlreadyApplied{};
     if (key.value() != revision().value() + 1)
@@ -50,7 +50,7 @@
     if (auto *finding = std::get_if<Finding>(&decoded))
         return std::move(*finding);
     Snapshot &taken = std::get<Snapshot>(decoded);
-    // A peer or an old snapshot may be behind: a configuration that was in force never reverts.
+    // A peer's snapshot or a stored one may be old; the configuration must never revert.
     if (taken.config.revision <= revision())
         return std::nullopt;
 
--- a/src/core/config/config_log.h
+++ b/src/core/config/config_log.h
@@ -13,29 +13,31 @@
 
 namespace baobabtrail {
 
-/// \brief What became of a record that was handed to a ConfigLog.
+/// \brief The record was applied.
 struct RecordApplied
 {
 };
-/// \brief The revision is in force already.
+/// \brief The record's revision is already in force or superseded.
 struct RecordAlreadyApplied
 {
 };
-/// \brief Records in between are missing.
+/// \brief Records between the revision in force and this one are missing.
 struct RecordGap
 {
 };
-/// \brief Damaged, of an unknown kind or not valid; the log stays at the revision before it.
+/// \brief The record is damaged, of an unknown kind or not valid. The log stays at the previous
+/// revision.
 struct RecordInvalid
 {
     Finding finding;
 };
+/// \brief Outcome of handing a record to a ConfigLog.
 using AppendResult = std::variant<RecordApplied, RecordAlreadyApplied, RecordGap, RecordInvalid>;
 
-/// \brief The configuration in force and the newest records that led to it.
+/// \brief The configuration in force and the most recent records that led to it.
 ///
-/// Applies only the next revision in order, whatever order records come in: nothing reverts and
-/// nothing is left out.
+/// Applies only the next revision, in whatever order records arrive, so that the configuration
+/// never reverts and skips no record.
 class ConfigLog
 {
 public:
@@ -44,20 +46,24 @@
     [[nodiscard]] const ConfigPtr &config() const noexcept { return m_config; }
     [[nodiscard]] Revision revision() const noexcept { return m_config->revision; }
 
-    /// \brief Takes one record as it stands in the log.
-    /// \param key Revision that the record was found under; a record that names another is bad.
+    /// \brief Applies one record if it is the next one.
+    /// \param key Revision in the key under which the record was stored. A record that names
+    /// another revision is invalid.
+    /// \param text The record as stored. \see encodeRecord()
     [[nodiscard]] AppendResult append(Revision key, const std::string &text);
 
-    /// \brief Takes a snapshot where it is newer than what is in force.
-    /// \return Why it was not usable, or nothing.
+    /// \brief Replaces the configuration by a snapshot if that is newer than the one in force.
+    /// \return Why the snapshot could not be decoded, or nothing; an older one is no error.
     [[nodiscard]] std::optional<Finding> install(const std::vector<std::string> &shards);
 
-    /// \return The revision that a change got, as far back as ids are kept.
+    /// \return The revision of an accepted change, or nothing if it is unknown or too old: only a
+    /// limited number of change ids is retained.
     [[nodiscard]] std::optional<Revision> revisionOf(const std::string &changeId) const;
-    /// \return The change that made \a revision; empty where it is no longer known.
+    /// \return Id of the change that created \a revision; empty if it is no longer known.
     [[nodiscard]] std::string changeIdAt(Revision revision) const;
 
-    /// \brief Answers a peer that lacks records.
+    /// \brief Answers a peer that lacks records: with the records if they are retained, else with
+    /// a snapshot.
     [[nodiscard]] Records serve(const FetchRecords &request) const;
     [[nodiscard]] Snapshot snapshot() const;
     [[nodiscard]] std::vector<ChangeRecord> retainedRecords() const;
@@ -73,7 +79,7 @@
     void retain(ChangeRecord record, std::string text);
 
     ConfigPtr m_config;
-    std::deque<RetainedRecord> m_retained; ///< Without holes, up to the revision in force.
+    std::deque<RetainedRecord> m_retained; ///< Consecutive, up to the revision in force.
     std::size_t m_retainedBytes = 0;
     std::deque<AcceptedChange> m_changes;
     std::unordered_map<std::string, Revision> m_changeRevisions;
--- a/src/core/config/log_keys.h
+++ b/src/core/config/log_keys.h
@@ -7,22 +7,23 @@
 #include <string_view>
 
 /// \file
-/// \brief Keys of the objects that hold the log of changes and its snapshots.
+/// \brief Keys of the objects that store the configuration log and its snapshots.
 
 namespace baobabtrail {
 
 inline constexpr std::string_view LogPrefix = "config/log/";
 inline constexpr std::string_view SnapshotPrefix = "config/snapshot/";
 
-/// \return "config/log/" and the revision with 20 digits, so that keys sort as revisions do.
+/// \return "config/log/" and the revision, zero-padded to 20 digits so that keys sort in the order
+/// of revisions.
 [[nodiscard]] std::string logKey(Revision revision);
-/// \return The revision, or nothing where \a key is no key of the log.
+/// \return The revision, or nothing if \a key is not a key of the log.
 [[nodiscard]] std::optional<Revision> parseLogKey(std::string_view key);
 
 [[nodiscard]] std::string shardKey(Revision revision, std::size_t shard);
 [[nodiscard]] std::string manifestKey(Revision revision);
 
-/// \brief What a key below SnapshotPrefix names.
+/// \brief A parsed key below SnapshotPrefix.
 struct SnapshotKey
 {
     Revision revision;
--- a/src/core/config/log_reader.cpp
+++ b/src/core/config/log_reader.cpp
@@ -18,7 +18,7 @@
 {
     if (const auto *failure = std::get_if<PlatformFailure>(&result))
         return {failure->what, failure->retryAfter};
-    return {"the platform gave an answer of another kind", Duration{0}};
+    return {"the platform answered with an unexpected result", Duration{0}};
 }
 
 } // namespace
@@ -85,8 +85,8 @@
     return result;
 }
 
-// The list left the next revision out: either it is gone, and a snapshot covers it, or the list
-// was wrong. Reading the one object tells, and costs less than a snapshot.
+// The next revision was not in the list: either it was deleted and a snapshot covers it, or the
+// list was incomplete. Reading that one object shows which, and costs less than a snapshot.
 void LogReader::readMissing()
 {
     const Revision next{m_log.revision().value() + 1};
@@ -137,7 +137,7 @@
 
 void LogReader::finish(const LogReadResult &result)
 {
-    // A handler may ask again at once: it has to find the list empty.
+    // A handler may call catchUp() right away, which starts a read only if the list is empty.
     const std::vector<Done> waiting = std::exchange(m_waiting, {});
     for (const Done &done : waiting)
         done(result);
@@ -180,7 +180,7 @@
         std::vector<std::string> shards;
         for (auto &[index, text] : parts.shards)
             shards.push_back(std::move(text));
-        // A writer that died half-way leaves shards without a manifest, or of another content.
+        // A writer that crashed midway leaves shards without a manifest or with different content.
         if (parts.manifest != makeManifest(revision, shards))
             continue;
         complete.push_back({revision, std::move(shards)});
--- a/src/core/config/log_reader.h
+++ b/src/core/config/log_reader.h
@@ -14,23 +14,23 @@
 /// \brief The log was read to its end.
 struct LogReadDone
 {
-    ObjectVersion latest; ///< Watches begin behind this version.
+    ObjectVersion latest; ///< Store version at the end of the log; a watch starts after it.
 };
-/// \brief The platform gave no answer.
+/// \brief The platform did not answer or reported a failure.
 struct LogUnreachable
 {
     std::string what;
-    Duration retryAfter{0};
+    Duration retryAfter{0}; ///< Wait that the platform asked for; 0 if none.
 };
-/// \brief The log can't be applied past some record.
+/// \brief A record is invalid or missing, so that nothing after it can be applied.
 struct LogBroken
 {
     Finding finding;
 };
 using LogReadResult = std::variant<LogReadDone, LogUnreachable, LogBroken>;
 
-/// \brief Reads from the platform what a ConfigLog lacks: records after its revision, or the
-/// newest complete snapshot where the log no longer reaches back that far.
+/// \brief Reads from the platform what a ConfigLog lacks: the records after its revision, or the
+/// newest complete snapshot if the next records have been deleted.
 class LogReader
 {
 public:
@@ -42,13 +42,15 @@
     {
     }
 
-    /// \brief Reads to the end; callers that come while it runs share the result.
+    /// \brief Reads to the end of the log. Calls made while a read is under way share its result.
     void catchUp(Done done);
-    /// \brief Takes records that came by a watch. \return Whether some in between are missing.
+    /// \brief Applies records that a watch delivered.
+    /// \return Whether records in between are missing.
     [[nodiscard]] bool applyWatched(const ObjectList &list);
-    /// \brief Takes one record and tells of a bad one, loudly but seldom.
+    /// \brief Applies one record. An invalid one is logged as an error, at a limited rate.
     AppendResult append(Revision key, const std::string &text);
-    /// \return When the platform last showed that nothing newer exists.
+    /// \return When the last list call that reached the end of the log was sent: the
+    /// configuration was current then.
     [[nodiscard]] std::optional<TimePoint> confirmedAt() const noexcept { return m_confirmedAt; }
 
 private:
@@ -69,14 +71,14 @@
     std::optional<TimePoint> m_invalidReportedAt;
 };
 
-/// \brief One snapshot as found at the platform.
+/// \brief A snapshot as stored on the platform.
 struct StoredSnapshot
 {
     Revision revision;
     std::vector<std::string> shards;
 };
 
-/// \return Snapshots whose manifest and shards are all there and match, oldest first.
+/// \return Snapshots whose manifest and shards are all present and match, oldest first.
 [[nodiscard]] std::vector<StoredSnapshot>
 completeSnapshots(const std::vector<StoredObject> &objects);
 
