--- a/src/core/config/proposer.cpp
+++ b/src/core/config/proposer.cpp
@@ -17,7 +17,7 @@
 {
     if (const auto *failure = std::get_if<PlatformFailure>(&result))
         return {failure->what, failure->retryAfter};
-    return {"the platform gave an answer of another kind", Duration{0}};
+    return {"the platform answered with an unexpected result", Duration{0}};
 }
 
 } // namespace
@@ -38,7 +38,7 @@
     attempt->backoff = Backoff{MinRetryDelay, MaxRetryDelay};
     if (m_queue.size() >= MaxQueuedProposals) {
         m_context.emit(ProposalDone{attempt->request.proposal,
-                                    ProposalUnknown{"too many changes wait at this daemon"}});
+                                    ProposalUnknown{"too many changes are queued at this daemon"}});
         return;
     }
     m_queue.push_back(std::move(attempt));
@@ -60,7 +60,8 @@
 {
     m_context.emit(ProposalDone{attempt->request.proposal, std::move(outcome)});
     m_queue.pop_front();
-    // From a timer: a queue of repeated changes would otherwise be answered by recursion.
+    // Started from a timer: a queue of already accepted changes would otherwise recurse once for
+    // each of them.
     if (!m_queue.empty())
         m_context.after(Duration{0}, [this] { startNext(); });
 }
@@ -70,7 +71,7 @@
     m_reader.catchUp([this, attempt](const LogReadResult &result) {
         if (const auto *failure = std::get_if<LogUnreachable>(&result))
             return retryLater(attempt, *failure, &Proposer::readLog);
-        // Whether this change stands behind the broken record can't be told.
+        // The change may already be in the log after the unreadable record.
         if (const auto *broken = std::get_if<LogBroken>(&result))
             return finishUnknown(attempt, "the log can't be read: " + toString(broken->finding));
         prepare(attempt);
@@ -82,10 +83,10 @@
     if (finishIfAccepted(attempt) || refuseOnRevisionMismatch(attempt))
         return;
     if (++attempt->tries > MaxRevisionsTried)
-        return refuse(attempt,
-                      {"change: " + std::to_string(MaxRevisionsTried)
-                       + " other changes came first; ask again"},
-                      m_log.changeIdAt(m_log.revision()));
+        return refuse(
+            attempt,
+            {"change: " + std::to_string(MaxRevisionsTried) + " other changes came first; retry"},
+            m_log.changeIdAt(m_log.revision()));
 
     ChangeRecord record = attempt->request.draft;
     record.revision = Revision{m_log.revision().value() + 1};
@@ -136,23 +137,24 @@
     }
     if (std::holds_alternative<WriteConflict>(result))
         return readBack(attempt);
-    // The reply may be lost and the record in the log, or the write still on its way.
+    // The record may be in the log with only the reply lost, or the write may still be in flight.
     retryLater(attempt, asFailure(result), &Proposer::readBack);
 }
 
 void Proposer::readBack(const AttemptPtr &attempt)
 {
-    m_context.call(ReadObject{logKey(attempt->revision)}, [this,
-                                                           attempt](const PlatformResult &result) {
-        if (const auto *object = std::get_if<StoredObject>(&result))
-            return onReadBack(attempt, *object);
-        // A write that is still on its way may yet arrive, so absence is no
-        // refusal. The same record under the same key does no harm twice: one
-        // create takes effect, whichever arrives first.
-        if (std::holds_alternative<ObjectMissing>(result))
-            return retryLater(attempt, {"the write has no result", Duration{0}}, &Proposer::write);
-        retryLater(attempt, asFailure(result), &Proposer::readBack);
-    });
+    m_context.call(
+        ReadObject{logKey(attempt->revision)}, [this, attempt](const PlatformResult &result) {
+            if (const auto *object = std::get_if<StoredObject>(&result))
+                return onReadBack(attempt, *object);
+            // An earlier write may still be in flight and arrive later, so the missing object
+            // doesn't mean that it failed. Writing the same record under the same key twice is
+            // harmless: only one create takes effect, whichever arrives first.
+            if (std::holds_alternative<ObjectMissing>(result))
+                return retryLater(attempt, {"the result of the write is unknown", Duration{0}},
+                                  &Proposer::write);
+            retryLater(attempt, asFailure(result), &Proposer::readBack);
+        });
 }
 
 void Proposer::onReadBack(const AttemptPtr &attempt, const StoredObject &object)
@@ -165,7 +167,7 @@
     onRevisionTaken(attempt, object);
 }
 
-// Another record has the revision: our create can never take effect there any more.
+// Another record has taken the revision, so this daemon's create can no longer take effect there.
 void Proposer::onRevisionTaken(const AttemptPtr &attempt, const StoredObject &object)
 {
     const AppendResult appended = m_reader.append(attempt->revision, object.value);
@@ -213,10 +215,11 @@
                           void (Proposer::*step)(const AttemptPtr &))
 {
     const Duration wait = attempt->backoff.next(m_context.random(), failure.retryAfter);
-    // Even where nothing was written now, an earlier call with this change id may have been.
+    // The outcome is unknown even if nothing was written now: an earlier proposal with this change
+    // id may have been accepted.
     if (m_context.now() + wait > attempt->deadline)
-        return finishUnknown(attempt, "the platform gave no answer (" + failure.what
-                                          + "); ask again with the same change id");
+        return finishUnknown(attempt, "the platform did not answer (" + failure.what
+                                          + "); retry with the same change id");
     m_context.after(wait, [this, attempt, step] { (this->*step)(attempt); });
 }
 
--- a/src/core/config/proposer.h
+++ b/src/core/config/proposer.h
@@ -10,36 +10,39 @@
 
 namespace baobabtrail {
 
-/// \brief Puts changes into the log, one after the other.
+/// \brief Appends changes to the configuration log, one at a time.
 ///
-/// A change is accepted by creating the object of the next revision where none exists: of all
-/// daemons that try, the platform lets one through. Everything else here finds out whether that
-/// create took effect.
+/// A change is accepted by creating the object of the next revision on condition that it doesn't
+/// exist: if several daemons try, the platform lets one succeed. The other steps determine whether
+/// that create took effect.
+///
+/// Steps: read the log, prepare the record, check quarantined addresses, write, and, if the result
+/// of the write is unclear, read the object back.
 class Proposer
 {
 public:
     using QuarantineChecked = std::function<void(Findings)>;
-    /// \brief Finds out whether addresses in quarantine may be taken, and calls back with reasons
-    /// against it.
+    /// \brief Checks whether quarantined addresses may be reused; calls back with the reasons
+    /// against it, or with no findings.
     using QuarantineChecker = std::function<void(std::vector<QuarantineUse>, QuarantineChecked)>;
 
     Proposer(ControlContext &context, ConfigLog &log, LogReader &reader,
              QuarantineChecker quarantineCheck);
 
     void propose(Propose request);
-    /// \return Newest revision that this daemon wrote itself.
+    /// \return Newest revision that this daemon itself wrote.
     [[nodiscard]] Revision lastWritten() const noexcept { return m_lastWritten; }
 
 private:
-    /// \brief One proposal on its way; shared by the replies that it waits for.
+    /// \brief One proposal in the queue; shared by the callbacks of its pending calls.
     struct Attempt
     {
         Propose request;
         TimePoint deadline;
         Backoff backoff;
-        std::uint32_t tries = 0; ///< Revisions that it has tried to get.
-        Revision revision;       ///< That it tries to get now.
-        std::string text;        ///< Record for that revision.
+        std::uint32_t tries = 0; ///< Revisions for which it was prepared so far.
+        Revision revision;       ///< Revision for which it is prepared now.
+        std::string text;        ///< Encoded record for that revision.
     };
     using AttemptPtr = std::shared_ptr<Attempt>;
 
@@ -68,7 +71,7 @@
     LogReader &m_reader;
     QuarantineChecker m_quarantineCheck;
     Revision m_lastWritten;
-    std::deque<AttemptPtr> m_queue; ///< The first one is worked on.
+    std::deque<AttemptPtr> m_queue; ///< The front one is in progress.
 };
 
 } // namespace baobabtrail
