--- a/src/core/config/impl/json_fields.cpp
+++ b/src/core/config/impl/json_fields.cpp
@@ -21,7 +21,7 @@
     , m_place(std::move(place))
 {
     if (!m_object)
-        fail("is no object");
+        fail("is not an object");
 }
 
 void FieldReader::fail(const std::string &what) const
@@ -41,7 +41,7 @@
 {
     const json::string *found = value(field).if_string();
     if (!found)
-        fail('"' + std::string{field} + "\" is no string");
+        fail('"' + std::string{field} + "\" is not a string");
     return std::string{found->data(), found->size()};
 }
 
@@ -50,7 +50,7 @@
     boost::system::error_code error;
     const auto result = value(field).to_number<std::uint64_t>(error);
     if (error)
-        fail('"' + std::string{field} + "\" is no whole number from 0");
+        fail('"' + std::string{field} + "\" is not a non-negative integer");
     return result;
 }
 
@@ -67,7 +67,7 @@
     boost::system::error_code error;
     const auto result = value(field).to_number<std::int64_t>(error);
     if (error)
-        fail('"' + std::string{field} + "\" is no whole number");
+        fail('"' + std::string{field} + "\" is not an integer");
     return result;
 }
 
@@ -75,7 +75,7 @@
 {
     const auto parsed = parseEndpoint(text(field));
     if (!parsed)
-        fail('"' + std::string{field} + "\" is no address with a port");
+        fail('"' + std::string{field} + "\" is not an IPv4 address with a port");
     return *parsed;
 }
 
@@ -83,7 +83,7 @@
 {
     const json::array *found = value(field).if_array();
     if (!found)
-        fail('"' + std::string{field} + "\" is no array");
+        fail('"' + std::string{field} + "\" is not an array");
     return *found;
 }
 
@@ -133,11 +133,11 @@
     boost::system::error_code error;
     json::value sealed = json::parse(text, error);
     if (error)
-        throw FormatError(place + ": is no JSON: " + error.message());
+        throw FormatError(place + ": is not JSON: " + error.message());
     const FieldReader fields{sealed, place};
     json::value body = fields.value(bodyName);
-    // A damaged object that still parses would give daemons configurations that differ at one
-    // revision. The text is written anew, so only a change of content counts.
+    // Without the checksum, a damaged object that still parses would give daemons different
+    // configurations at the same revision. The body is reserialized, so only content counts.
     if (checksum(json::serialize(body)) != fields.text("checksum"))
         fields.fail("checksum does not match");
     return body;
--- a/src/core/config/impl/json_fields.h
+++ b/src/core/config/impl/json_fields.h
@@ -10,18 +10,20 @@
 
 namespace baobabtrail::impl {
 
-/// \brief A stored value is not what it should be; what() tells the place and the cause.
+/// \brief A stored value can't be decoded; what() says where and why.
 class FormatError : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// \brief Reads the fields of one JSON object; each error names the field.
+/// \brief Reads the fields of a JSON object; errors name the field.
+///
+/// All readers throw FormatError if the field is missing or of another type.
 class FieldReader
 {
 public:
-    /// \throws FormatError where \a value is no object.
+    /// \throws FormatError if \a value is not an object.
     FieldReader(const boost::json::value &value, std::string place);
 
     [[nodiscard]] const boost::json::value &value(std::string_view field) const;
@@ -43,10 +45,10 @@
 [[nodiscard]] boost::json::object toJson(const ServiceLimits &limits);
 [[nodiscard]] ServiceLimits readLimits(const FieldReader &fields);
 
-/// \brief Wraps \a body with a checksum over its text.
+/// \brief Serializes \a body under the key \a bodyName, together with a checksum of its text.
 [[nodiscard]] std::string seal(std::string_view bodyName, const boost::json::object &body);
-/// \brief Undoes seal().
-/// \throws FormatError where the text is no JSON, lacks a field or the checksum does not match.
+/// \brief Verifies the checksum of a text from seal() and returns the body.
+/// \throws FormatError if the text is not JSON, lacks a field or doesn't match its checksum.
 [[nodiscard]] boost::json::value unseal(std::string_view bodyName, std::string_view text,
                                         const std::string &place);
 /// \return XXH3 of \a text, 16 hexadecimal digits.
--- a/tests/config/record_codec_test.cpp
+++ b/tests/config/record_codec_test.cpp
@@ -77,8 +77,8 @@
 Test(recordCodec, findingsNameThePlace)
 {
     const std::string sealed = encodeRecord(everyCommand());
-    cr_assert(findingOf("{").starts_with("config/log/7: is no JSON"));
-    cr_assert(findingOf("[]") == "config/log/7: is no object");
+    cr_assert(findingOf("{").starts_with("config/log/7: is not JSON"));
+    cr_assert(findingOf("[]") == "config/log/7: is not an object");
     const std::string unknown = boost::replace_first_copy(sealed, "drain-target", "train-target");
     cr_assert(findingOf(unknown) == "config/log/7: checksum does not match");
     cr_assert(findingOf(sealAnew(unknown))
