--- a/src/core/config/record_codec.cpp
+++ b/src/core/config/record_codec.cpp
@@ -14,7 +14,7 @@
 using impl::FieldReader;
 using impl::FormatError;
 
-// One overload of kindOf, nameOf, write and read for each command; templates below find them.
+// Each command has overloads of kindOf, nameOf, write and read; the templates below select them.
 
 constexpr std::string_view kindOf(const DeclareWorkspace &)
 {
@@ -74,7 +74,7 @@
     return "restore-domain";
 }
 
-/// Commands that carry nothing but a failure domain's name.
+/// \brief Commands whose only argument is a failure domain.
 template <typename T>
 concept NamesDomainOnly = std::same_as<T, EvacuateDomain> || std::same_as<T, RestoreDomain>;
 
@@ -235,7 +235,7 @@
     command.epoch = KeyEpoch{fields.number32("epoch")};
 }
 
-/// Commands that carry nothing but the target's name.
+/// \brief Commands whose only argument is a target.
 template <typename T>
 concept NamesTargetOnly = std::same_as<T, DrainTarget> || std::same_as<
     T, UndrainTarget> || std::same_as<T, RetireTarget> || std::same_as<T, CutTarget>;
@@ -281,8 +281,8 @@
     const FieldReader fields{value, place};
     const std::string kind = fields.text("kind");
     Command command;
-    // Skipping a kind that a newer version wrote would leave this daemon with another
-    // configuration than its revision says; it has to stop before it.
+    // The kind may come from a newer version. Skipping it would leave this daemon with another
+    // configuration than other daemons have at that revision, so it must stop before the record.
     if (!readAny(fields, kind, command, std::make_index_sequence<std::variant_size_v<Command>>{}))
         fields.fail("unknown kind \"" + kind + '"');
     return command;
@@ -357,7 +357,7 @@
     try {
         return readRecord(impl::unseal("record", text, place), place);
     } catch (const FormatError &error) {
-        // The place comes first in the error's text; a finding keeps both apart.
+        // The error's text begins with "place: ", which a finding holds separately.
         return Finding{place, std::string{error.what()}.substr(place.size() + 2)};
     }
 }
--- a/src/core/config/record_codec.h
+++ b/src/core/config/record_codec.h
@@ -9,10 +9,10 @@
 
 namespace baobabtrail {
 
-/// Largest value that the platform takes, in bytes.
+/// Largest value that the platform accepts, in bytes.
 inline constexpr std::size_t MaxObjectBytes = 1'000'000;
 
-/// \brief Writes a record as JSON with a checksum, as it stands in the log.
+/// \brief Encodes a record as it is stored in the log: JSON with a checksum.
 ///
 /// \code
 /// const std::string text = encodeRecord(record);
@@ -21,12 +21,15 @@
 /// \endcode
 [[nodiscard]] std::string encodeRecord(const ChangeRecord &record);
 
+/// \brief Decodes a record from the log.
 /// \param place Where the text was found; findings begin with it.
-/// \return The record, or why the text is none: damaged, or of a kind that this version lacks.
+/// \return The record, or why it can't be decoded: it is damaged, or has a command of a kind that
+/// this version doesn't know.
 [[nodiscard]] std::variant<ChangeRecord, Finding> decodeRecord(std::string_view text,
                                                                const std::string &place);
 
-/// \return The kind and the name of what \a command changes: "add-target alexandria/lending/t3".
+/// \return The kind of \a command and the name of the object that it changes, such as
+/// "add-target alexandria/lending/t3".
 [[nodiscard]] std::string describe(const Command &command);
 
 [[nodiscard]] std::string toString(const ServiceName &name);
--- a/src/core/config/snapshot.cpp
+++ b/src/core/config/snapshot.cpp
@@ -13,7 +13,8 @@
 using impl::FieldReader;
 using impl::FormatError;
 
-constexpr std::size_t MaxShardItemBytes = 400'000; ///< Items of one shard together, about.
+/// Serialized size of the items in one shard, approximately.
+constexpr std::size_t MaxShardItemBytes = 400'000;
 
 [[nodiscard]] json::object toJson(const TargetConfig &target, ServiceId service)
 {
@@ -87,7 +88,7 @@
             Revision{fields.number("since")}, fields.seconds("until")};
 }
 
-/// \brief Collects items and starts a new shard where one is full.
+/// \brief Collects items into shards; starts a new shard when one is full.
 class ShardPacker
 {
 public:
@@ -120,7 +121,7 @@
     std::size_t m_bytes = 0;
 };
 
-/// \brief Puts the items of shards together again.
+/// \brief Reassembles a snapshot from its shards.
 class ShardReader
 {
 public:
@@ -195,7 +196,7 @@
     packer.add({{"item", "keys"}, {"epoch", config.keyEpoch.value()}});
     for (const auto &[name, workspace] : config.workspaces)
         packer.add({{"item", "tenant"}, {"name", name}, {"key-hash", workspace.keyHash}});
-    // Before the targets, which are read with it.
+    // Evacuations precede targets: the reader sets TargetConfig::evacuated from them.
     for (const auto &[domain, evacuation] : config.evacuations)
         packer.add({{"item", "evacuation"},
                     {"domain", domain},
@@ -254,7 +255,7 @@
         SnapshotManifest manifest{Revision{fields.number("revision")}, {}};
         for (const json::value &sum : fields.array("shards")) {
             if (!sum.is_string())
-                fields.fail("a checksum is no string");
+                fields.fail("a checksum is not a string");
             manifest.checksums.emplace_back(sum.get_string().data(), sum.get_string().size());
         }
         return manifest;
--- a/src/core/config/snapshot.h
+++ b/src/core/config/snapshot.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail {
 
-/// \brief Id of a change and the revision that it got.
+/// \brief An accepted change's id and revision.
 struct AcceptedChange
 {
     std::string changeId;
@@ -18,22 +18,26 @@
     friend bool operator==(const AcceptedChange &, const AcceptedChange &) = default;
 };
 
-/// \brief All that is needed to go on from a revision without the records before it.
+/// \brief The state at one revision, from which later records apply without the earlier ones.
 struct Snapshot
 {
     Config config;
-    std::vector<AcceptedChange> changes; ///< The newest, oldest first; makes asking again harmless.
+    /// The most recent changes, oldest first: a proposal that is repeated with the same id is
+    /// recognized and not applied twice.
+    std::vector<AcceptedChange> changes;
 };
 
-/// \brief Cuts a snapshot into values that the platform takes.
-/// \return Shards, each with a checksum and far smaller than the platform's limit.
+/// \brief Splits a snapshot into shards that fit into the platform's values.
+/// \return Shards, each with a checksum and far smaller than MaxObjectBytes.
 [[nodiscard]] std::vector<std::string> encodeSnapshot(const Snapshot &snapshot);
 
-/// \return The snapshot, or why the shards make none: damaged, missing or of two revisions.
+/// \return The snapshot, or why the shards can't be decoded: one is damaged or missing, or they are
+/// of different revisions.
 [[nodiscard]] std::variant<Snapshot, Finding>
 decodeSnapshot(const std::vector<std::string> &shards);
 
-/// \brief Names the shards of a snapshot; written last, so that one that was cut short is seen.
+/// \brief Lists the shards of a snapshot by checksum. Written last, so that a snapshot whose
+/// writing was interrupted is recognized as incomplete.
 struct SnapshotManifest
 {
     Revision revision;
--- a/src/core/config/snapshot_writer.cpp
+++ b/src/core/config/snapshot_writer.cpp
@@ -13,8 +13,9 @@
 constexpr std::uint32_t DeletesPerTick = 32;
 constexpr std::size_t RetainedSnapshots = 2;
 
-/// A create that was sent long ago and arrives late must find its key taken, or the log would
-/// begin with a record that never was in force. No call stays under way for so long.
+/// Minimum age of a record before it is deleted. A delayed create for an old revision must find its
+/// key taken; otherwise the log would begin with a record that was never in force. No call stays in
+/// flight for an hour.
 constexpr std::chrono::seconds MinRecordAge = std::chrono::hours{1};
 
 } // namespace
@@ -84,7 +85,8 @@
         return writeManifest(job);
     const CreateObject request{shardKey(job->revision, job->written), job->shards[job->written]};
     m_context.call(request, [this, job](const PlatformResult &result) {
-        // A conflict is an earlier try's shard; the manifest's checksums tell if it differs.
+        // A conflict means that an earlier attempt wrote the shard; if its content differs, the
+        // manifest's checksum doesn't match and the snapshot is not used.
         const bool exists = std::holds_alternative<Written>(result)
                             || std::holds_alternative<WriteConflict>(result);
         if (!exists) {
@@ -107,7 +109,7 @@
         m_newestSnapshot = std::max(m_newestSnapshot, job->revision);
         m_context.notice(Severity::Info, Part::Config,
                          "Wrote a snapshot of revision " + std::to_string(job->revision.value())
-                             + " in " + std::to_string(job->shards.size()) + " parts");
+                             + " in " + std::to_string(job->shards.size()) + " shards");
     });
 }
 
@@ -154,7 +156,7 @@
         m_busy = false;
         return;
     }
-    // Oldest first: the log must never get a hole that a newer record hides.
+    // Oldest first, so that the log never has a gap between records.
     const std::string key = keys->front();
     keys->erase(keys->begin());
     m_context.call(DeleteObject{key}, [this, keys](const PlatformResult &result) {
--- a/src/core/config/snapshot_writer.h
+++ b/src/core/config/snapshot_writer.h
@@ -9,10 +9,11 @@
 
 namespace baobabtrail {
 
-/// \brief Writes snapshots to the platform and deletes what they make needless.
+/// \brief Writes snapshots to the platform, and deletes records and snapshots that are no longer
+/// needed.
 ///
-/// Only the first watcher of a failure domain runs it. Two at once do no harm: every object is
-/// created where none exists, and its content follows from the revision.
+/// Only the first watcher of each failure domain runs it. Concurrent writers are harmless: objects
+/// are only created, never overwritten, and their content is determined by the revision.
 class SnapshotWriter
 {
 public:
@@ -22,7 +23,8 @@
     {
     }
 
-    /// \brief Goes one step on, where one is due. Lists what other domains have written first.
+    /// \brief Starts the next step if one is due: a snapshot or a batch of deletions. Before a
+    /// snapshot, lists those that other failure domains have written.
     void tick();
 
 private:
@@ -45,8 +47,8 @@
     ControlContext &m_context;
     ConfigLog &m_log;
     bool m_busy = false;
-    Revision m_newestSnapshot; ///< Newest complete snapshot that is known.
-    Revision m_compactTo;      ///< Records up to this one are covered by two snapshots.
+    Revision m_newestSnapshot; ///< Newest complete snapshot known.
+    Revision m_compactTo;      ///< Records up to here are in two snapshots and may be deleted.
     std::vector<std::string> m_oldSnapshots; ///< Keys of snapshots that are no longer needed.
 };
 
