--- a/src/core/config/finding.h
+++ b/src/core/config/finding.h
@@ -5,7 +5,7 @@
 
 namespace baobabtrail {
 
-/// \brief One reason why something was not taken, and the place that it concerns.
+/// \brief One reason why something was rejected, and the place that it concerns.
 struct Finding
 {
     std::string place; ///< For example "command 2 (add-target alexandria/lending/t3)".
--- a/src/core/config/validate.cpp
+++ b/src/core/config/validate.cpp
@@ -32,7 +32,7 @@
 
     void operator()(const DeclareWorkspace &command)
     {
-        // Findings call workspaces tenants, as the operators' language does.
+        // Findings say tenant for workspace, as the operators' command language does.
         name("tenant", command.workspace);
         const std::string &hash = command.keyHash;
         if (hash.empty() || hash.size() > MaxKeyHashLength)
@@ -172,7 +172,7 @@
             else if constexpr (requires { typed.service.workspace; })
                 return typed.service.workspace;
             else
-                return {}; // Workspaces, keys and failure domains are the whole system's matter.
+                return {}; // Workspaces, keys and failure domains belong to the whole system.
         },
         command);
 }
--- a/src/core/config/validate.h
+++ b/src/core/config/validate.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 /// \file
-/// \brief Checks of a record that need no configuration.
+/// \brief Checks of a record that don't depend on the configuration.
 
 namespace baobabtrail {
 
@@ -22,13 +22,15 @@
 [[nodiscard]] std::optional<std::string> checkName(std::string_view name);
 
 /// \brief Checks names, ranges and addresses of one command.
-/// \param place Where the command stands. \param findings Takes every reason against it.
+/// \param place Position of the command, for the findings.
+/// \param findings Every reason against the command is appended here.
 void checkCommand(const Command &command, const std::string &place, Findings &findings);
 
-/// \brief Checks the parts of a record beside its commands.
+/// \brief Checks a record except for its individual commands.
 void checkRecord(const ChangeRecord &record, Findings &findings);
 
-/// \return The workspace whose configuration \a command changes; empty for the whole system.
+/// \return The workspace whose configuration \a command changes; empty if it affects the whole
+/// system.
 [[nodiscard]] std::string workspaceOf(const Command &command);
 
 } // namespace baobabtrail
