--- a/src/core/config/apply.cpp
+++ b/src/core/config/apply.cpp
@@ -295,7 +295,7 @@
     }
 
     /// \brief Indexes the addresses in use, so that a record that adds many targets doesn't scan
-    /// all targets for each. Built on first use, since most records don't need it.
+    /// all targets for each. Built on first use.
     void buildAddressUses()
     {
         if (m_addressUsesBuilt)
--- a/src/core/config/snapshot_writer.cpp
+++ b/src/core/config/snapshot_writer.cpp
@@ -15,7 +15,7 @@
 
 /// Minimum age of a record before it is deleted. A delayed create for an old revision must find its
 /// key taken; otherwise the log would begin with a record that was never in force. No call stays in
-/// flight for an hour.
+/// flight for that long.
 constexpr std::chrono::seconds MinRecordAge = std::chrono::hours{1};
 
 } // namespace
@@ -156,7 +156,7 @@
         m_busy = false;
         return;
     }
-    // Oldest first, so that the log never has a gap between records.
+    // Oldest first, so that an interrupted deletion never leaves a gap before a newer record.
     const std::string key = keys->front();
     keys->erase(keys->begin());
     m_context.call(DeleteObject{key}, [this, keys](const PlatformResult &result) {
