--- a/tests/config/apply_test.cpp
+++ b/tests/config/apply_test.cpp
@@ -14,7 +14,7 @@
 
 const TargetName T1 = targetName("lending", "t1");
 
-/// \brief A configuration that is changed step by step.
+/// \brief A configuration to which the tests apply one record after another.
 struct ConfigFixture
 {
     Config config;
@@ -108,8 +108,8 @@
     expectFinding(applyRecord(fixture.config, unnamed), "revision: is not the one after 1");
 }
 
-// Guards against an evacuation that is lost by a daemon that boots from a snapshot, or that a
-// target added meanwhile escapes.
+// An evacuation must survive a start from a snapshot, and must include targets that are added to
+// the domain while it lasts.
 Test(apply, evacuationLastsUntilRestored)
 {
     ConfigFixture fixture = declaredFixture();
@@ -156,9 +156,9 @@
     }
 }
 
-// The owner of a retiring target finds it empty and is paused before it says so.
-// Meanwhile the target is removed and declared anew under its name. The late removal names the old
-// generation: taken, it would remove a target that is in use.
+// The owner of a retiring target finds it empty and stalls before it proposes the removal.
+// Meanwhile the target is removed and another one added under its name. The late removal names the
+// old generation; if it were applied, it would remove a target that is in use.
 Test(apply, lateRemovalOfAnOldGenerationIsRefused)
 {
     ConfigFixture fixture = declaredFixture();
@@ -171,9 +171,9 @@
     fixture.apply({RemoveTarget{T1, Generation{4}}});
 }
 
-// An address leaves lending. A daemon that has not heard of it still sends lending's packets there.
-// The same service may have it at once; another one's claim is handed to whoever accepts the
-// record, until the quarantine's time is over.
+// A daemon with an older configuration still sends lending's packets to a removed target's address.
+// The same service may reuse the address at once. Reuse by another service is reported to whoever
+// accepts the record, until the quarantine expires.
 Test(apply, addressesOfARemovedTargetAreQuarantined)
 {
     ConfigFixture fixture = declaredFixture();
@@ -184,7 +184,8 @@
     cr_assert(fixture.attempt({addTarget("lending", "t2", 1)}).quarantined.empty());
     const ApplyResult other = fixture.attempt({addTarget("catalogue", "t1", 1)});
     cr_assert(other.findings.empty() && other.quarantined.size() == 1);
-    cr_assert(other.quarantined[0].since == Revision{2}); // It got no new work from there on.
+    // The removed target received no new work from this revision on.
+    cr_assert(other.quarantined[0].since == Revision{2});
     cr_assert(other.next.quarantine.empty());
 
     fixture.unixSeconds += 600;
@@ -223,8 +224,8 @@
                   "the key of tenant \"alexandria\"");
 }
 
-// Records reach a daemon late, twice and out of order, and snapshots of an older revision too.
-// The revision in force must go up one by one and never back.
+// A daemon may receive records late, twice and out of order, and snapshots of an older revision.
+// The revision in force must increase one by one and never revert.
 Test(configLog, revisionOnlyIncreases)
 {
     ConfigLog log;
--- a/tests/config/record_codec_test.cpp
+++ b/tests/config/record_codec_test.cpp
@@ -57,8 +57,8 @@
     cr_assert(read->author == record.author && read->workspace == record.workspace);
 }
 
-// The store hands back a damaged object, or one that a newer version wrote.
-// Whatever changes, the text must not be taken for another valid record: daemons would differ.
+// The store may return a damaged object, or one that a newer version wrote. It must never be
+// decoded as a different valid record, since daemons' configurations would then differ.
 Test(recordCodec, anyChangedByteIsDetected)
 {
     const std::string text = encodeRecord(everyCommand());
@@ -68,9 +68,10 @@
             if (damaged[i] == other)
                 continue;
             damaged[i] = other;
-            cr_assert(!findingOf(damaged).empty(), "byte %zu as '%c' was taken", i, other);
+            cr_assert(!findingOf(damaged).empty(), "byte %zu as '%c' was accepted", i, other);
         }
-        cr_assert(!findingOf(text.substr(0, i)).empty(), "%zu bytes alone were taken", i);
+        cr_assert(!findingOf(text.substr(0, i)).empty(), "the first %zu bytes alone were accepted",
+                  i);
     }
 }
 
