--- a/src/core/base64.cpp
+++ b/src/core/base64.cpp
@@ -12,7 +12,7 @@
     std::string out(sodium_base64_encoded_len(bytes.size(), variant), '\0');
     sodium_bin2base64(out.data(), out.size(), reinterpret_cast<const unsigned char *>(bytes.data()),
                       bytes.size(), variant);
-    out.pop_back(); // the terminating zero
+    out.pop_back(); // the terminating null
     return out;
 }
 
--- a/src/core/base64.h
+++ b/src/core/base64.h
@@ -5,9 +5,10 @@
 
 namespace baobabtrail {
 
-/// \return Bytes as text, with padding.
+/// \return The bytes in standard base64 with padding.
 [[nodiscard]] std::string toBase64(std::string_view bytes);
-/// \throws std::runtime_error where the text is not base64.
+/// \return The decoded bytes.
+/// \throws std::runtime_error if the text is not standard base64 with padding.
 [[nodiscard]] std::string fromBase64(std::string_view text);
 
 } // namespace baobabtrail
--- a/src/core/endpoint.h
+++ b/src/core/endpoint.h
@@ -23,11 +23,11 @@
     }
 };
 
-/// \brief Writes an endpoint as "127.0.0.1:9000".
+/// \return The endpoint in the form "127.0.0.1:9000".
 [[nodiscard]] std::string toString(const Endpoint &endpoint);
 
-/// \brief Reads "127.0.0.1:9000".
-/// \return The endpoint, or nothing where the text is no IPv4 address with a port from 1 to 65535.
+/// \brief Parses an endpoint such as "127.0.0.1:9000".
+/// \return The endpoint, or nothing if the text is not an IPv4 address with a port from 1 to 65535.
 [[nodiscard]] std::optional<Endpoint> parseEndpoint(std::string_view text);
 
 } // namespace baobabtrail
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail {
 
-/// \brief A number with a meaning: two ids of different kinds can't be mixed up.
+/// \brief A strongly typed integer id: ids of different kinds don't convert to each other.
 ///
 /// \code
 /// ServiceId lending{7};
@@ -42,20 +42,21 @@
 using ServiceId = StrongId<struct ServiceIdTag>;
 /// Hash of "workspace/service/target"; see targetId().
 using TargetId = StrongId<struct TargetIdTag>;
-/// The revision that declared a target; a target declared anew under its old name gets a new one.
+/// The revision that added a target; tells apart targets that had the same name in succession.
 using Generation = StrongId<struct GenerationTag>;
-/// Position in the log of changes; 0 is the empty configuration.
+/// Position in the configuration log; 0 is the empty configuration.
 using Revision = StrongId<struct RevisionTag>;
-/// Chosen by the settings of the VM; unique among the daemons alive.
+/// Set in the VM's settings; unique among live daemons.
 using DaemonId = StrongId<struct DaemonIdTag>;
-/// Drawn at each start of a daemon, larger at each start of the same VM's daemon.
+/// Chosen at each start of a daemon; increases with each start of the daemon on the same VM.
 using Incarnation = StrongId<struct IncarnationTag>;
 /// Chosen at random by the caller.
 using FlowId = StrongId<struct FlowIdTag>;
 /// Number of a cluster key; the keys themselves are derived from the cluster secret.
 using KeyEpoch = StrongId<struct KeyEpochTag, std::uint32_t>;
 
-/// \brief Names a request; chosen at random by the caller, 128 bits so that no two collide.
+/// \brief Identifies a request; 128 bits chosen at random by the caller, so that collisions are
+/// negligible.
 struct RequestId
 {
     std::uint64_t high = 0;
@@ -70,14 +71,14 @@
 
 std::ostream &operator<<(std::ostream &out, const RequestId &id);
 
-/// \brief Id of a service, the same on every daemon without any agreement.
+/// \brief Id of a service. Computed from its name, so all daemons agree without communicating.
 /// \param workspace Name of the workspace.
 /// \param service Name of the service within the workspace.
 /// \return The 64-bit hash of "workspace/service".
 [[nodiscard]] ServiceId serviceId(std::string_view workspace, std::string_view service);
 
-/// \brief Id of a target, the same on every daemon without any agreement.
-/// \param service Id of the service the target was declared for.
+/// \brief Id of a target. Computed from its name, so all daemons agree without communicating.
+/// \param service Id of the target's service.
 /// \param target Name of the target within the service.
 /// \return The 64-bit hash of both.
 [[nodiscard]] TargetId targetId(ServiceId service, std::string_view target);
--- a/src/core/lenient_json.h
+++ b/src/core/lenient_json.h
@@ -7,15 +7,16 @@
 
 namespace baobabtrail {
 
-/// \brief Reads JSON that one writer among many may have spoilt.
+/// \brief Parses a JSON list in which single entries may be malformed.
 ///
-/// One entry with bytes that are no UTF-8, or that is nested deeply, would make a whole list
-/// unreadable: no daemon could start, and none would hear of a change any more. Such an entry is
-/// read here and refused by itself, for what it lacks.
-/// \throws boost::system::system_error Where the text is no JSON.
+/// With strict parsing, one entry that has invalid UTF-8 or is deeply nested would make the whole
+/// list unreadable: no daemon could start or learn of further changes. Here such an entry is
+/// parsed, so that the caller can reject it alone by its missing or invalid fields. \throws
+/// boost::system::system_error if the text is not JSON.
 [[nodiscard]] inline boost::json::value parseLeniently(std::string_view text)
 {
-    // Nothing on the platform is nested deeper than 8; bounded, since values are freed recursively.
+    // Valid objects of the platform are nested at most 8 deep. The bound is needed because values
+    // are freed recursively.
     constexpr std::size_t maxNesting = 512;
     boost::json::parse_options options;
     options.allow_invalid_utf8 = true;
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -4,10 +4,10 @@
 
 namespace baobabtrail {
 
-/// \brief The seeded engine that is passed into every decision that draws a random number.
+/// \brief The seeded random engine, passed to every function that makes a random decision.
 ///
-/// Use it with the distributions of Boost.Random: unlike the standard library's they give the same
-/// numbers for the same seed everywhere, so a seed that shows a fault shows it on every machine.
+/// Use it with the distributions of Boost.Random. Unlike those of the standard library, they give
+/// the same numbers for a seed on every platform, so a failure can be reproduced from its seed.
 using Random = boost::random::mt19937_64;
 
 } // namespace baobabtrail
