--- a/src/core/keys.cpp
+++ b/src/core/keys.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t KeysPerEpoch = 3;
 constexpr char KdfContext[crypto_kdf_CONTEXTBYTES + 1] = "baobabtr";
 
-/// \brief Collects the fields of a token in a fixed layout for the MAC.
+/// \brief Serializes the fields of a token in a fixed layout as input of the MAC.
 class MacInput
 {
 public:
--- a/src/core/keys.h
+++ b/src/core/keys.h
@@ -10,9 +10,9 @@
 
 /// \brief The cluster's keys, derived from the cluster secret and the key epoch.
 ///
-/// Every daemon derives the same keys without talking to anyone, so one that is cut off from the
-/// platform and its peers still checks tokens. Old epochs stay accepted until they are dropped,
-/// so that a rotation breaks no flow.
+/// Every daemon derives the same keys locally, so one that is cut off from the platform and its
+/// peers can still verify tokens. Adjacent epochs, within the overlap, are accepted too, so that
+/// a rotation breaks no flow.
 ///
 /// \code
 /// KeyRing keys{secret, KeyEpoch{1}};
@@ -22,14 +22,15 @@
 class KeyRing
 {
 public:
-    /// \param secret At least 32 bytes. \throws std::invalid_argument where it is shorter.
-    /// \param current Epoch that new tokens are sealed with.
+    /// \param secret At least 32 bytes.
+    /// \param current Epoch whose keys authenticate new tokens.
     /// \param overlap How many epochs before and after \a current are accepted.
+    /// \throws std::invalid_argument if the secret is too short.
     KeyRing(std::span<const std::byte> secret, KeyEpoch current, std::uint32_t overlap = 1);
 
     [[nodiscard]] KeyEpoch currentEpoch() const noexcept { return m_current; }
 
-    /// \brief Moves to another epoch; the ones next to it stay accepted.
+    /// \brief Switches to another epoch; those within the overlap are accepted too.
     void rotate(KeyEpoch current);
 
     /// \return \a token with epoch and MAC filled in.
@@ -42,7 +43,7 @@
     [[nodiscard]] TokenError checkReservation(const RequestId &request,
                                               const ReservationToken &token) const noexcept;
 
-    /// \brief MAC over a message between daemons, under the current epoch's peer key.
+    /// \return MAC of a message between daemons, computed with the current epoch's peer key.
     [[nodiscard]] Mac sealPeer(std::string_view bytes) const noexcept;
     [[nodiscard]] TokenError checkPeer(KeyEpoch epoch, std::string_view bytes,
                                        const Mac &mac) const noexcept;
--- a/src/core/notice.h
+++ b/src/core/notice.h
@@ -10,30 +10,30 @@
 
 enum class Severity { Debug, Info, Warning, Error };
 
-/// \brief Part of the system that a log line comes from; printed as a fixed prefix.
+/// \brief Component that a log line comes from; printed as a fixed prefix.
 enum class Part { Flows, Requests, Targets, Config, Membership, Distribution, Platform, Daemon };
 
-/// \brief A line for the log; the daemon limits how many of a kind it writes.
+/// \brief A log line; the daemon rate-limits each kind.
 struct Notice
 {
     Severity severity = Severity::Info;
     Part part = Part::Daemon;
     std::string text;   ///< One short sentence.
-    ServiceId service;  ///< Null where none is concerned.
+    ServiceId service;  ///< Service that is concerned; null for none.
     std::string change; ///< Id of the change that is concerned; empty for none.
 };
 
 enum class RequestOutcome { Answered, NotRun, Unknown };
 
-/// \brief A request came to its end at its owner; feeds the histograms.
+/// \brief A request ended at its owner; feeds the histograms.
 struct RequestObserved
 {
     ServiceId service;
     RequestClass requestClass = RequestClass::Normal;
     RequestOutcome outcome = RequestOutcome::Answered;
     RefusalCause refusal = RefusalCause::Overload; ///< Only with NotRun.
-    Duration queued{0};                            ///< From the reservation to the dispatch.
-    Duration total{0};                             ///< From the reservation to the end.
+    Duration queued{0};                            ///< Time from reservation to dispatch.
+    Duration total{0};                             ///< Time from reservation to the end.
 };
 
 enum class FlowEvent { Opened, Refused, Closed, Reset, Reopened };
@@ -46,7 +46,7 @@
     ResetCause reset = ResetCause::UnknownFlow;    ///< Only with Reset.
 };
 
-/// \brief A token or message that was not accepted, by cause.
+/// \brief Why a token or message was rejected.
 enum class RejectKind { BadFlowToken, BadReservation, WrongTarget, StaleGeneration, BadPeer };
 
 struct RejectObserved
--- a/src/core/time.h
+++ b/src/core/time.h
@@ -4,10 +4,10 @@
 
 namespace baobabtrail {
 
-/// \brief A monotonic clock that the core never reads: every event brings its time along.
+/// \brief Type of the monotonic clock. The core never reads it: every event carries its time.
 ///
-/// The daemon fills it from std::chrono::steady_clock, tests from a virtual clock. Readings of two
-/// VMs are not comparable; a time that leaves the VM travels as time left.
+/// The daemon takes the time from std::chrono::steady_clock, tests from a virtual clock. Times of
+/// two VMs are not comparable, so a deadline is sent to another VM as the remaining time.
 struct CoreClock
 {
     using duration = std::chrono::microseconds;
