--- a/tests/tokens/flow_token_test.cpp
+++ b/tests/tokens/flow_token_test.cpp
@@ -48,8 +48,8 @@
     cr_assert(other.checkFlow(FlowId{42}, token) == TokenError::BadMac);
 }
 
-// A caller's feed is hours old when the keys are rotated.
-// One rotation on, daemons with the old and the new epoch both serve it; two on, it is refused.
+// A flow may be hours old when the keys are rotated. After one rotation, daemons of the old and the
+// new epoch must accept its token; after two, the token is refused.
 Test(flowToken, acceptedAcrossOneKeyRotation)
 {
     const KeyRing old{makeSecret(1), KeyEpoch{1}};
