--- a/src/core/lenient_json.h
+++ b/src/core/lenient_json.h
@@ -11,8 +11,9 @@
 ///
 /// With strict parsing, one entry that has invalid UTF-8 or is deeply nested would make the whole
 /// list unreadable: no daemon could start or learn of further changes. Here such an entry is
-/// parsed, so that the caller can reject it alone by its missing or invalid fields. \throws
-/// boost::system::system_error if the text is not JSON.
+/// parsed, so that the caller can reject it alone by its missing or invalid fields.
+///
+/// \throws boost::system::system_error if the text is not JSON.
 [[nodiscard]] inline boost::json::value parseLeniently(std::string_view text)
 {
     // Valid objects of the platform are nested at most 8 deep. The bound is needed because values
