--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -95,7 +95,7 @@
     const std::string body = bodyOf(call);
     for (const Endpoint &daemon : m_daemons) {
         try {
-            return askOne(daemon, body);
+            return sendTo(daemon, body);
         } catch (const boost::system::system_error &error) {
             m_failures.push_back(toString(daemon) + ": " + error.code().message());
         }
@@ -103,7 +103,7 @@
     return std::nullopt;
 }
 
-Reply AdminClient::askOne(const Endpoint &daemon, const std::string &body) const
+Reply AdminClient::sendTo(const Endpoint &daemon, const std::string &body) const
 {
     http::request<http::string_body> request{http::verb::post, "/v1/execute", HttpVersion};
     request.set(http::field::host, toString(daemon));
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -42,7 +42,7 @@
     [[nodiscard]] const std::vector<std::string> &failures() const noexcept { return m_failures; }
 
 private:
-    [[nodiscard]] Reply askOne(const Endpoint &daemon, const std::string &body) const;
+    [[nodiscard]] Reply sendTo(const Endpoint &daemon, const std::string &body) const;
 
     std::vector<Endpoint> m_daemons;
     std::string m_key;
--- a/src/ctl/explain_flow.cpp
+++ b/src/ctl/explain_flow.cpp
@@ -22,7 +22,7 @@
 constexpr double ContextSeconds = 2.0;
 
 /// \return A number with one decimal, as people read it.
-[[nodiscard]] std::string shortened(double value)
+[[nodiscard]] std::string formatDecimal(double value)
 {
     std::array<char, 32> digits{};
     const auto [end, status] = std::to_chars(digits.data(), digits.data() + digits.size(), value,
@@ -46,7 +46,7 @@
         if (found->is_string())
             return {found->get_string().data(), found->get_string().size()};
         if (found->is_double())
-            return shortened(found->get_double());
+            return formatDecimal(found->get_double());
         return json::serialize(*found);
     }
 };
@@ -92,14 +92,14 @@
     return lines;
 }
 
-[[nodiscard]] bool names(const Line &line, std::string_view flow)
+[[nodiscard]] bool mentionsFlow(const Line &line, std::string_view flow)
 {
     const std::string own = line.text("flow");
     return own == flow || (own.starts_with(flow) && own[flow.size()] == '>');
 }
 
 /// \return Whether a line tells of a start, a stop, or something that a daemon depends on.
-[[nodiscard]] bool isOfDaemon(const Line &line)
+[[nodiscard]] bool isDaemonEvent(const Line &line)
 {
     static const std::set<std::string> events{"start",       "ready",          "stop",
                                               "end",         "reload",         "store_lost",
@@ -170,7 +170,7 @@
     std::set<std::string> targets;
     std::set<std::string> daemons;
     for (const Line &line : lines) {
-        if (!names(line, flow))
+        if (!mentionsFlow(line, flow))
             continue;
         own.push_back(&line);
         daemons.insert(line.daemon);
@@ -190,7 +190,7 @@
             continue;
         const bool ofTarget
             = line.text("part") == "targets" && targets.contains(line.text("target"));
-        if (names(line, flow) || ofTarget || isOfDaemon(line))
+        if (mentionsFlow(line, flow) || ofTarget || isDaemonEvent(line))
             print(line, out);
     }
     printCause(own, out);
--- a/src/ctl/top.cpp
+++ b/src/ctl/top.cpp
@@ -17,7 +17,7 @@
     "flows_total",     "flow_resets_total",  "request_refusals_total", "ready",
     "config_version",  "view_revision",      "view_age_seconds",       "flows",
     "followers",       "segments_total"};
-constexpr std::size_t MostTargets = 20;
+constexpr std::size_t MaxTargets = 20;
 
 [[nodiscard]] bool isShown(std::string_view name)
 {
@@ -64,7 +64,7 @@
 
 } // namespace
 
-std::vector<std::string> glanceAt(std::string_view page)
+std::vector<std::string> selectMetrics(std::string_view page)
 {
     std::vector<std::string> lines;
     while (!page.empty()) {
@@ -90,12 +90,12 @@
 
     std::string screen;
     for (const std::string &message : metrics->messages) {
-        for (const std::string &line : glanceAt(message))
+        for (const std::string &line : selectMetrics(message))
             screen += line + '\n';
     }
     if (!drains->rows.empty())
         screen += "\nleaving:\n" + renderText(*drains);
-    keepLargest(*targets, "running", MostTargets);
+    keepLargest(*targets, "running", MaxTargets);
     screen += "\ntargets:\n" + renderText(*targets);
     return screen;
 }
--- a/src/language/execute.cpp
+++ b/src/language/execute.cpp
@@ -38,7 +38,7 @@
     {
         m_backend.domainStatus([backend = m_backend, caller = m_request.caller, show,
                                 done = m_done](const std::vector<DomainStatus> &domains) {
-            done(impl::changeFate(backend, caller, show.changeId, domains));
+            done(impl::changeStatus(backend, caller, show.changeId, domains));
         });
     }
 
--- a/src/language/filter_rows.cpp
+++ b/src/language/filter_rows.cpp
@@ -19,8 +19,8 @@
 
 /// \brief Whether a cell has the value that a filter names; a service may be given as
 /// "workspace/service".
-[[nodiscard]] bool holds(const Result &result, const std::vector<std::string> &row,
-                         std::size_t column, const std::string &value)
+[[nodiscard]] bool matches(const Result &result, const std::vector<std::string> &row,
+                           std::size_t column, const std::string &value)
 {
     if (row[column] == value)
         return true;
@@ -54,7 +54,7 @@
     for (const Filter &filter : filters) {
         const std::size_t column = *columnOf(table, filter.column);
         std::erase_if(table.rows, [&](const auto &row) {
-            return holds(table, row, column, filter.value) == filter.negated;
+            return matches(table, row, column, filter.value) == filter.negated;
         });
     }
     return table;
--- a/src/language/impl/explain.cpp
+++ b/src/language/impl/explain.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// \return The bytes; none where the text is not hexadecimal.
-[[nodiscard]] std::string bytesOf(const std::string &hexadecimal)
+[[nodiscard]] std::string decodeHex(const std::string &hexadecimal)
 {
     std::string bytes;
     try {
@@ -64,7 +64,7 @@
 
 Result explain(const Backend &backend, const Caller &caller, const ExplainFlow &statement)
 {
-    const auto token = backend.readFlowToken(bytesOf(statement.token));
+    const auto token = backend.readFlowToken(decodeHex(statement.token));
     if (!token)
         return refused("these bytes are no flow token");
     const ConfigPtr config = backend.config();
@@ -90,7 +90,7 @@
 
 Result explain(const Backend &backend, const Caller &caller, const ExplainRequest &statement)
 {
-    const auto token = backend.readReservation(bytesOf(statement.token));
+    const auto token = backend.readReservation(decodeHex(statement.token));
     if (!token)
         return refused("these bytes are no reservation");
     const TokenError error = backend.checkReservation(statement.request, *token);
--- a/src/language/impl/queries.cpp
+++ b/src/language/impl/queries.cpp
@@ -112,8 +112,8 @@
     return result;
 }
 
-Result changeFate(const Backend &backend, const Caller &caller, const std::string &changeId,
-                  const std::vector<DomainStatus> &domains)
+Result changeStatus(const Backend &backend, const Caller &caller, const std::string &changeId,
+                    const std::vector<DomainStatus> &domains)
 {
     const std::vector<ChangeRecord> changes = backend.recentChanges();
     const auto found = std::find_if(changes.begin(), changes.end(), [&](const auto &record) {
--- a/src/language/impl/queries.h
+++ b/src/language/impl/queries.h
@@ -12,9 +12,9 @@
 [[nodiscard]] Result revisionTable(const std::vector<DomainStatus> &domains);
 
 /// \brief Whether a change is in the log, and how many daemons have it in force.
-[[nodiscard]] Result changeFate(const Backend &backend, const Caller &caller,
-                                const std::string &changeId,
-                                const std::vector<DomainStatus> &domains);
+[[nodiscard]] Result changeStatus(const Backend &backend, const Caller &caller,
+                                  const std::string &changeId,
+                                  const std::vector<DomainStatus> &domains);
 
 /// \brief What became of a proposal, for the one who made it.
 [[nodiscard]] Result proposalResult(const ProposalOutcome &outcome, const std::string &changeId);
--- a/src/language/impl/wait.cpp
+++ b/src/language/impl/wait.cpp
@@ -10,10 +10,10 @@
 constexpr Duration PollPeriod = 100ms;
 
 /// \brief One wait in progress; keeps itself alive through its handlers.
-class Waiting : public std::enable_shared_from_this<Waiting>
+class WaitOperation : public std::enable_shared_from_this<WaitOperation>
 {
 public:
-    Waiting(Backend backend, Wait wait, std::function<void(Result)> done)
+    WaitOperation(Backend backend, Wait wait, std::function<void(Result)> done)
         : m_backend(std::move(backend))
         , m_wait(std::move(wait))
         , m_done(std::move(done))
@@ -25,12 +25,12 @@
     {
         m_backend.domainStatus(
             [self = shared_from_this()](const std::vector<DomainStatus> &domains) {
-                self->judge(domains);
+                self->evaluate(domains);
             });
     }
 
 private:
-    void judge(const std::vector<DomainStatus> &domains)
+    void evaluate(const std::vector<DomainStatus> &domains)
     {
         const std::optional<Revision> revision = subjectRevision();
         std::vector<std::string> missing;
@@ -123,7 +123,7 @@
 void waitUntilInForce(const Backend &backend, const Wait &wait,
                       const std::function<void(Result)> &done)
 {
-    std::make_shared<Waiting>(backend, wait, done)->poll();
+    std::make_shared<WaitOperation>(backend, wait, done)->poll();
 }
 
 } // namespace baobabtrail::language::impl
--- a/tests/ctl/explain_flow_test.cpp
+++ b/tests/ctl/explain_flow_test.cpp
@@ -24,7 +24,7 @@
 
 // A caller complains; the engineer on call has the logs and the flow's id.
 // What happened to the flow has to come in order, with what the daemon knew, and nothing else.
-Test(explainFlow, tellsTheStoryInOrder)
+Test(explainFlow, printsTheEventsOfAFlowInOrder)
 {
     std::istringstream log{Log};
     std::ostringstream out;
--- a/tests/ctl/help_test.cpp
+++ b/tests/ctl/help_test.cpp
@@ -10,8 +10,8 @@
     for (const std::string program : {"baobabtraild", "baobabctl"}) {
         Process help{program, {"--help"}, Process::Output::Unread};
         std::string text;
-        constexpr int mostLines = 60; // Behind the end of the output they are empty.
-        for (int line = 0; line < mostLines; ++line)
+        constexpr int maxLines = 60; // Behind the end of the output they are empty.
+        for (int line = 0; line < maxLines; ++line)
             text += help.readLine() + '\n';
         cr_assert_eq(help.waitForEnd(), 0);
         cr_assert(text.find(program) == 0, "%s", text.c_str());
--- a/tests/explain/tables_test.cpp
+++ b/tests/explain/tables_test.cpp
@@ -12,11 +12,11 @@
 
 /// \brief A cluster with one target that takes flows and one that drains, and statements to one
 /// daemon.
-struct Asked
+struct DirectTablesFixture
 {
     LoggedCluster system{3};
 
-    Asked()
+    DirectTablesFixture()
     {
         system.cluster.store.put(DirectCluster::targetKey(1), "x ready");
         system.cluster.store.put(DirectCluster::targetKey(2), "x draining");
@@ -47,7 +47,7 @@
 
 Test(directTables, showsTargetsWithWhatDecidesTheirChoice)
 {
-    const Asked asked;
+    const DirectTablesFixture asked;
     const Result all = asked.execute("show targets");
     cr_assert_eq(all.rows.size(), 2);
     const Result trusted = asked.execute("show targets where state = trusted");
@@ -62,7 +62,7 @@
 
 Test(directTables, showsItsViewAndWhereItComesFrom)
 {
-    const Asked asked;
+    const DirectTablesFixture asked;
     const Result daemons = asked.execute("show daemons");
     cr_assert_eq(daemons.rows.size(), 3, "itself and two roots");
     cr_assert(cell(daemons, 0, "daemon") == "edge-2");
@@ -76,7 +76,7 @@
 
 Test(directTables, showsHowItsViewReachesIt)
 {
-    const Asked asked;
+    const DirectTablesFixture asked;
     const Result result = asked.execute("show distribution");
     cr_assert_eq(result.rows.size(), 3, "routes, targets and evacuations");
     cr_assert(cell(result, 0, "collection") == "routes");
@@ -90,7 +90,7 @@
 // Guards against a domain that looks in use to the operator who wants it empty.
 Test(directTables, showsWhichDomainsAreEvacuated)
 {
-    Asked asked;
+    DirectTablesFixture asked;
     const Result before = asked.execute("show domains");
     cr_assert_eq(before.rows.size(), 1);
     cr_assert(cell(before, 0, "state") == "in-use" && cell(before, 0, "for-ms") == "-");
@@ -104,7 +104,7 @@
 // Operators who know the product's own commands try one here; the daemon must not seem to do it.
 Test(directTables, refusesCommandsAndSaysWhereTheyBelong)
 {
-    const Asked asked;
+    const DirectTablesFixture asked;
     const Result result = asked.execute("drain target alexandria/lending/t1");
     cr_assert(result.status == Status::Refused);
     cr_assert_neq(result.messages.at(0).find("store"), std::string::npos);
