--- a/src/language/backend.h
+++ b/src/language/backend.h
@@ -15,48 +15,49 @@
 
 namespace baobabtrail::language {
 
-/// \brief What a daemon offers to the operators' language. Every function but the ones with a
-/// handler answers at once; handlers are called once, later.
+/// \brief Callbacks through which the operators' language reads the state of a daemon and changes
+/// the configuration. Functions that get a handler are asynchronous and call it once; all others
+/// return at once.
 struct Backend
 {
     std::function<ConfigPtr()> config;
     std::function<ViewPtr()> view;
-    /// Whether the platform's list of VMs has shown this daemon; before that, its view is no ground
-    /// for saying "everywhere".
+    /// Whether this daemon has appeared in the platform's list of VMs. Until then its view may lack
+    /// other daemons, so "in force everywhere" can't be concluded from it.
     std::function<bool()> listed;
     std::function<std::vector<ChangeRecord>()> recentChanges;
-    /// Targets that this daemon owns.
+    /// Status of the targets that this daemon owns.
     std::function<std::vector<TargetStatus>()> targetStatus;
-    /// Puts a change to the log, or tells what it would do.
+    /// Proposes a change to the config log, or reports its effects on a dry run.
     std::function<void(Propose, std::function<void(ProposalOutcome)>)> propose;
-    /// Asks one daemon of each failure domain; a domain that did not answer is left out.
+    /// Queries one daemon of each failure domain. A domain that does not answer is left out.
     std::function<void(std::function<void(std::vector<DomainStatus>)>)> domainStatus;
-    /// Text of the metrics page of this daemon.
+    /// This daemon's metrics page, in Prometheus' text format.
     std::function<std::string()> metrics;
-    /// Calls back after a delay; used by "wait".
+    /// Runs a function after a delay; "wait" polls with it.
     std::function<void(Duration, std::function<void()>)> after;
-    /// Reads a token from its bytes on the wire; nothing where they are none.
+    /// Decodes a token from its wire format; std::nullopt where the bytes are malformed.
     std::function<std::optional<FlowToken>(const std::string &)> readFlowToken;
     std::function<std::optional<ReservationToken>(const std::string &)> readReservation;
     std::function<TokenError(FlowId, const FlowToken &)> checkFlowToken;
     std::function<TokenError(const RequestId &, const ReservationToken &)> checkReservation;
-    /// Seconds since 1970, for the times that records carry.
+    /// Wall-clock time as seconds since 1970, as stored in change records.
     std::function<std::int64_t()> unixSeconds;
 };
 
-/// \brief Who asks, as the administration API found out from the key.
+/// \brief Caller of the administration API, as authenticated by its access key.
 struct Caller
 {
     std::string name;
-    std::string workspace; ///< Empty for an operator of the whole system.
+    std::string workspace; ///< Empty for an operator, who may access all workspaces.
 };
 
 /// \brief One request to the administration API.
 struct Request
 {
-    std::string text; ///< One statement of the language.
-    std::string changeId;
-    std::optional<Revision> expected;
+    std::string text;                 ///< One statement of the language.
+    std::string changeId;             ///< Required for a change, unless it is a dry run.
+    std::optional<Revision> expected; ///< Refuse the change if the newest revision is another one.
     bool dryRun = false;
     Caller caller;
 };
@@ -64,7 +65,7 @@
 /// \brief Exit status of baobabctl for a result.
 enum class Status : int { Done = 0, Refused = 1, Usage = 2, Unknown = 3, Unreachable = 4 };
 
-/// \brief Result of a statement: lines for people and a table for programs.
+/// \brief Result of a statement: messages to read, and a table that programs can parse.
 struct Result
 {
     Status status = Status::Done;
@@ -73,7 +74,9 @@
     std::vector<std::vector<std::string>> rows;
 };
 
-/// \brief Runs one statement. \param done Called once, perhaps before execute() returns.
+/// \brief Parses and runs one statement.
+/// \param backend Used until execute() returns; handlers that run later have a copy.
+/// \param done Called once with the result, perhaps before execute() returns.
 void execute(const Backend &backend, Request request, std::function<void(Result)> done);
 
 /// \return The result as JSON: {"status": n, "messages": [...], "columns": [...], "rows": [[...]]}.
--- a/src/language/execute.cpp
+++ b/src/language/execute.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// \brief Runs one statement; each kind of statement has its overload.
+/// \brief Visitor that runs one statement, with an overload for each kind.
 class Executor
 {
 public:
--- a/src/language/filter_rows.cpp
+++ b/src/language/filter_rows.cpp
@@ -17,14 +17,14 @@
     return text;
 }
 
-/// \brief Whether a cell has the value that a filter names; a service may be given as
+/// \return Whether a cell equals the value of a filter. A service also matches as
 /// "workspace/service".
 [[nodiscard]] bool matches(const Result &result, const std::vector<std::string> &row,
                            std::size_t column, const std::string &value)
 {
     if (row[column] == value)
         return true;
-    // Workspaces are called tenants in columns of tables.
+    // The tables' columns call workspaces tenants.
     const auto workspace = columnOf(result, "tenant");
     return result.columns[column] == "service" && workspace
            && row[*workspace] + '/' + row[column] == value;
--- a/src/language/filter_rows.h
+++ b/src/language/filter_rows.h
@@ -8,11 +8,11 @@
 
 namespace baobabtrail::language {
 
-/// \return Place of a column among the table's, or nothing where it has none of that name.
+/// \return Index of the named column, or std::nullopt where the table has no such column.
 [[nodiscard]] std::optional<std::size_t> columnOf(const Result &table, std::string_view column);
 
-/// \brief Keeps the rows of a table that pass all filters.
-/// \return The table, or what is wrong with the filters: columns that it does not have.
+/// \brief Removes the rows of a table that do not match all filters.
+/// \return The table, or Status::Usage with a message for each filter on an unknown column.
 [[nodiscard]] Result filterRows(Result table, const std::vector<Filter> &filters);
 
 } // namespace baobabtrail::language
--- a/src/language/impl/explain.cpp
+++ b/src/language/impl/explain.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// \return The bytes; none where the text is not hexadecimal.
+/// \return The decoded bytes; empty where the text is not valid hexadecimal.
 [[nodiscard]] std::string decodeHex(const std::string &hexadecimal)
 {
     std::string bytes;
@@ -43,7 +43,8 @@
     return Result{Status::Refused, {std::move(why)}, {}, {}};
 }
 
-/// Explaining a token to another workspace would show whose target has which address.
+/// A token must not be explained to another workspace: that would disclose the names and addresses
+/// of the owner's targets.
 [[nodiscard]] bool mayExplain(const Caller &caller, const ServiceConfig *service)
 {
     return caller.workspace.empty() || (service && service->workspace == caller.workspace);
@@ -71,7 +72,7 @@
     const TokenError error = backend.checkFlowToken(statement.flow, *token);
     if (error != TokenError::None)
         return refused(describe(error, token->epoch));
-    // Messages call workspaces tenants, as the operators' language does.
+    // Messages call a workspace a tenant, as the operators' language does.
     if (!mayExplain(caller, config->service(token->service)))
         return refused("the flow belongs to no service of this tenant");
 
--- a/src/language/impl/explain.h
+++ b/src/language/impl/explain.h
@@ -5,11 +5,11 @@
 
 namespace baobabtrail::language::impl {
 
-/// \brief What this daemon does with the datagrams of a flow, and why.
+/// \brief Explains where this daemon forwards the datagrams of a flow, and why.
 [[nodiscard]] Result explain(const Backend &backend, const Caller &caller,
                              const ExplainFlow &statement);
 
-/// \brief Which daemon owns a request, and whether this one knows it to be alive.
+/// \brief Names the daemon that owns a request, and that owner's member state as seen from here.
 [[nodiscard]] Result explain(const Backend &backend, const Caller &caller,
                              const ExplainRequest &statement);
 
--- a/src/language/impl/queries.cpp
+++ b/src/language/impl/queries.cpp
@@ -34,10 +34,10 @@
     return {};
 }
 
-/// \brief Removes what belongs to other workspaces: a workspace's key shows only its own.
+/// \brief Removes the rows of other workspaces, which a caller with a workspace's key must not see.
 void keepVisible(Result &result, const Caller &caller)
 {
-    // Workspaces are called tenants in columns of tables.
+    // The tables' columns call workspaces tenants.
     const auto workspace = columnOf(result, "tenant");
     if (caller.workspace.empty() || !workspace)
         return;
--- a/src/language/impl/queries.h
+++ b/src/language/impl/queries.h
@@ -5,18 +5,18 @@
 
 namespace baobabtrail::language::impl {
 
-/// \brief The rows of a table that the caller may see and that pass the filters.
+/// \return The rows of a table that the caller may see and that match the filters.
 [[nodiscard]] Result showTable(const Backend &backend, const Caller &caller, const Show &show);
 
-/// \brief One row for each daemon that some failure domain knows, with the revision in force there.
+/// \return One row for each member that a failure domain reports, with its revision in force.
 [[nodiscard]] Result revisionTable(const std::vector<DomainStatus> &domains);
 
-/// \brief Whether a change is in the log, and how many daemons have it in force.
+/// \return Whether a change was accepted, and on how many daemons it is in force.
 [[nodiscard]] Result changeStatus(const Backend &backend, const Caller &caller,
                                   const std::string &changeId,
                                   const std::vector<DomainStatus> &domains);
 
-/// \brief What became of a proposal, for the one who made it.
+/// \return The outcome of a proposal, as shown to its author.
 [[nodiscard]] Result proposalResult(const ProposalOutcome &outcome, const std::string &changeId);
 
 } // namespace baobabtrail::language::impl
--- a/src/language/impl/tables.cpp
+++ b/src/language/impl/tables.cpp
@@ -51,9 +51,10 @@
 
 using Row = std::vector<std::string>;
 
-/// \brief One row for each target that \a shown selects: who it is, what \a declared adds of its
-/// configuration, its owner, and what \a seen adds where this daemon owns it.
-/// \param seenColumns How many columns \a seen adds.
+/// \brief Makes one row for each target that \a shown selects: its name, domain and state, the
+/// cells that \a declared adds from its configuration, its owner, and the cells that \a seen adds
+/// from its status.
+/// \param seenColumns Number of cells that \a seen adds; "-" for targets of other owners.
 template <typename Shown, typename Declared, typename Seen>
 [[nodiscard]] Rows targetRows(const Backend &backend, std::size_t seenColumns, Shown shown,
                               Declared declared, Seen seen)
@@ -61,7 +62,7 @@
     Rows rows;
     const StatusById statuses = statusById(backend);
     const ConfigPtr config = backend.config();
-    // Once for all rows: a view is made anew for each call, from every member that is known.
+    // Fetched once for all rows, since each call builds a new view from all known members.
     const ViewPtr view = backend.view();
     for (const auto &[serviceId, service] : config->services) {
         for (const auto &[id, target] : service.targets) {
@@ -82,7 +83,7 @@
     return rows;
 }
 
-/// \brief A time as "2026-12-02T20:38:40Z".
+/// \return A time in ISO 8601, such as "2026-12-02T20:38:40Z".
 [[nodiscard]] std::string utc(std::chrono::sys_seconds when)
 {
     const auto day = std::chrono::floor<std::chrono::days>(when);
@@ -107,7 +108,7 @@
     return name(target.service) + '/' + target.target;
 }
 
-// Workspaces are called tenants in commands and in columns of tables.
+/// \brief Formats a command for the table of changes, where a workspace is called tenant.
 struct CommandText
 {
     std::string operator()(const DeclareWorkspace &c) const
--- a/src/language/impl/tables.h
+++ b/src/language/impl/tables.h
@@ -11,9 +11,10 @@
 [[nodiscard]] Result targetsTable(const Backend &backend);
 [[nodiscard]] Result daemonsTable(const Backend &backend);
 [[nodiscard]] Result changesTable(const Backend &backend);
-/// \brief Targets that are leaving, and what each still holds.
+/// \brief Draining and retiring targets, with their remaining connections and requests.
 [[nodiscard]] Result drainsTable(const Backend &backend);
-/// \brief Failure domains: which are evacuated, and what this daemon's targets there still hold.
+/// \brief Failure domains: whether each is evacuated, and the connections and requests that remain
+/// there on targets owned by this daemon.
 [[nodiscard]] Result domainsTable(const Backend &backend);
 
 [[nodiscard]] std::string toString(MemberState state);
--- a/src/language/impl/wait.cpp
+++ b/src/language/impl/wait.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration PollPeriod = 100ms;
 
-/// \brief One wait in progress; keeps itself alive through its handlers.
+/// \brief One wait in progress. Its pending handlers share ownership of it.
 class WaitOperation : public std::enable_shared_from_this<WaitOperation>
 {
 public:
@@ -56,8 +56,9 @@
         m_backend.after(PollPeriod, [self = shared_from_this()] { self->poll(); });
     }
 
-    /// Asking a domain that is cut off takes seconds by itself, which the delays between the
-    /// questions don't show; the wall clock alone may be set back.
+    /// \return The longer of the wall-clock time and the sum of the poll delays. Querying an
+    /// unreachable domain takes seconds, which the delays don't include; the wall clock may be set
+    /// back.
     [[nodiscard]] Duration waited() const
     {
         const Duration byClock = std::chrono::seconds{m_backend.unixSeconds() - m_since};
@@ -76,8 +77,9 @@
         return std::nullopt;
     }
 
-    /// A daemon that can't be heard may still serve by an older revision, so it counts as missing
-    /// until the membership has found it dead; silence is never taken for agreement.
+    /// \return A message for each daemon or failure domain that is not known to have the revision.
+    /// An unreachable daemon may still serve by an older revision, so it counts as missing until
+    /// the membership declares it dead.
     [[nodiscard]] std::vector<std::string>
     missingDaemons(Revision revision, const std::vector<DomainStatus> &domains) const
     {
@@ -94,7 +96,7 @@
                                   + std::to_string(member.revision.value()));
             }
         }
-        // The view may be replaced by the next event; the loop keeps its own hold on it.
+        // Held for the whole loop: the backend may replace its view at the next event.
         const ViewPtr view = m_backend.view();
         for (const auto &remote : view->remote) {
             if (remote.second.empty() || answered(remote.first, domains))
--- a/src/language/statement.h
+++ b/src/language/statement.h
@@ -12,7 +12,7 @@
 
 enum class Table { Services, Targets, Daemons, Changes, Drains, Distribution, Domains };
 
-/// \brief Keeps the rows whose column has, or has not, a value.
+/// \brief Condition on one column of a table: COLUMN = VALUE, or COLUMN != VALUE where negated.
 struct Filter
 {
     std::string column;
@@ -28,7 +28,7 @@
 struct ShowRevision
 {
 };
-/// \brief The fate of one change.
+/// \brief Asks whether a change was accepted, and on how many daemons it is in force.
 struct ShowChange
 {
     std::string changeId;
@@ -36,30 +36,30 @@
 struct ShowMetrics
 {
 };
-/// \brief Commands that come into force together or not at all.
+/// \brief Commands that are applied atomically: all come into force in one revision, or none.
 struct Change
 {
     std::vector<Command> commands;
 };
 inline constexpr Duration DefaultWait = 30s;
 
-/// \brief Returns when a revision or a change is in force on every live daemon.
+/// \brief Waits until a revision or a change is in force on every live daemon, or the timeout ends.
 struct Wait
 {
     std::variant<Revision, std::string> subject;
     Duration timeout = DefaultWait;
 };
-/// \brief Where the datagrams of a flow go, and why.
+/// \brief Asks where the datagrams of a flow are forwarded, and why.
 struct ExplainFlow
 {
     FlowId flow;
-    std::string token; ///< Hexadecimal, as the caller got it.
+    std::string token; ///< Flow token in hexadecimal, as issued to the caller.
 };
-/// \brief Which daemon owns a request, and whether it still can be in progress.
+/// \brief Asks which daemon owns a request, and whether the request may still be in progress.
 struct ExplainRequest
 {
     RequestId request;
-    std::string token; ///< Hexadecimal, as the caller got it.
+    std::string token; ///< Reservation token in hexadecimal, as issued to the caller.
 };
 struct Help
 {
@@ -68,12 +68,12 @@
 using Statement = std::variant<Show, ShowRevision, ShowChange, ShowMetrics, Change, Wait,
                                ExplainFlow, ExplainRequest, Help>;
 
-/// \brief A statement that can't be understood, and where.
+/// \brief First syntax error of a statement.
 struct SyntaxError
 {
-    std::size_t column = 0; ///< From 1.
-    std::string expected;   ///< What would have been understood there.
-    std::string found;      ///< The text there; empty at the end.
+    std::size_t column = 0; ///< Counted from 1.
+    std::string expected;   ///< What the grammar accepts at this column.
+    std::string found;      ///< The word at this column; empty at the end of the statement.
 };
 
 } // namespace baobabtrail::language
