--- a/src/language/parse.cpp
+++ b/src/language/parse.cpp
@@ -19,33 +19,33 @@
 
 const auto WordLetter = x3::char_("a-zA-Z0-9_-");
 
-/// \brief A word that stands for itself; errors name it.
+/// \brief Parser of a keyword, by which syntax errors name it too.
 [[nodiscard]] auto keyword(const char *word)
 {
     return x3::rule<struct KeywordRule>{word} = x3::lexeme[x3::lit(word) >> !WordLetter];
 }
 
-/// Semantic action: the attribute is the rule's value.
+/// Semantic action: assigns the attribute to the rule's value.
 constexpr auto Assign = [](auto &context) { x3::_val(context) = x3::_attr(context); };
 
-/// Semantic action: makes a value without parts.
+/// Semantic action: assigns a default-constructed value.
 template <typename Value>
 constexpr auto MakeEmpty = [](auto &context) { x3::_val(context) = Value{}; };
 
-/// Semantic action: makes a value of the attribute.
+/// Semantic action: constructs the value from the attribute.
 template <typename Value>
 constexpr auto Make = [](auto &context) { x3::_val(context) = Value{x3::_attr(context)}; };
 
-/// Semantic action: makes a value of the two parts of the attribute.
+/// Semantic action: constructs the value from the two parts of the attribute.
 template <typename Value>
 constexpr auto MakeOfTwo = [](auto &context) {
     x3::_val(context)
         = Value{fusion::at_c<0>(x3::_attr(context)), fusion::at_c<1>(x3::_attr(context))};
 };
 
-// NOLINTBEGIN(readability-identifier-naming): BOOST_SPIRIT_DEFINE asks for names with _def.
+// NOLINTBEGIN(readability-identifier-naming): BOOST_SPIRIT_DEFINE requires names with _def.
 
-// Words and numbers.
+// Tokens: names, texts, numbers and addresses.
 
 const x3::rule<struct NameRule, std::string> Name{"a name (letters, digits, '-', '_' or '.')"};
 const auto Name_def = x3::lexeme[+x3::char_("a-zA-Z0-9_.-")];
@@ -54,7 +54,7 @@
 const auto Text_def
     = x3::lexeme[+x3::char_("a-zA-Z0-9_./:-")] | x3::lexeme['\'' > *(x3::char_ - '\'') > '\''];
 
-// Workspaces are called tenants in the operators' language.
+// The operators' language calls workspaces tenants.
 const x3::rule<struct ServiceRule, ServiceName> Service{"a service name (tenant/service)"};
 const auto Service_def = Name >> '/' >> Name;
 
@@ -88,7 +88,7 @@
 const auto Seconds_def = x3::lexeme[x3::uint32 >> 's'][(
     [](auto &context) { x3::_val(context) = std::chrono::seconds{x3::_attr(context)}; })];
 
-// Settings of a command: each at most once, in any order.
+// Settings of a command, in any order; each may appear at most once.
 
 template <typename Value, std::size_t Count>
 struct Settings
@@ -97,7 +97,7 @@
     std::bitset<Count> seen;
 };
 
-/// \brief Semantic action that stores a setting and fails where it stood before.
+/// \brief Semantic action that stores a setting, and fails where it appears a second time.
 template <std::size_t Index, typename Member>
 [[nodiscard]] auto store(Member member)
 {
@@ -203,7 +203,7 @@
 
 // Queries.
 
-/// \brief Words that stand for values.
+/// \brief Symbol table that maps words to values.
 template <typename Value>
 struct Words : x3::symbols<Value>
 {
