--- a/tests/language/execute_test.cpp
+++ b/tests/language/execute_test.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// \brief A backend with one service of two workspaces each, and answers that a test sets.
+/// \brief Backend with two workspaces of one service each, whose answers a test sets.
 struct FakeBackend
 {
     std::shared_ptr<Config> config = std::make_shared<Config>();
     std::shared_ptr<View> view = std::make_shared<View>();
     std::vector<ChangeRecord> changes;
-    std::deque<std::vector<DomainStatus>> statuses; ///< One for each question; the last one stays.
+    std::deque<std::vector<DomainStatus>> statuses; ///< One for each query; the last is repeated.
     ProposalOutcome outcome = ProposalAccepted{Revision{4}, false};
     Propose proposed;
     std::int64_t now = 1000;
@@ -45,7 +45,7 @@
     {
         Backend made;
         made.config = [this] { return config; };
-        // As in the daemon, a view lives no longer than its last holder.
+        // As in the daemon, each call returns a new view that lives only while the caller holds it.
         made.view = [this] { return std::make_shared<const View>(*view); };
         made.listed = [this] { return listed; };
         made.recentChanges = [this] { return changes; };
@@ -144,8 +144,8 @@
     cr_assert(fake.run("wait for revision 4 timeout 10s").status == Status::Done);
 }
 
-// A failure domain is cut off: its daemons may still serve by an older revision.
-// The wait must not end well just because nobody there answers; it names the domain.
+// The daemons of an unreachable failure domain may still serve by an older revision. The wait must
+// not succeed because none of them answers, and must name the domain.
 Test(execute, waitNamesADomainThatDoesNotAnswer)
 {
     FakeBackend fake;
@@ -158,8 +158,8 @@
     cr_assert(result.messages.back().find("alx-agami did not answer") != std::string::npos);
 }
 
-// A tablet's driver reports a dead feed and reads its token out to the operator.
-// The answer tells whether the token is good, which target it names and where its datagrams go.
+// An operator looks into a flow that stopped working, by its token. The answer says whether the
+// token is valid, which target it names and where the flow's datagrams go.
 Test(execute, explainsWhereAFlowGoes)
 {
     FakeBackend fake;
@@ -180,8 +180,8 @@
     cr_assert(explained("").status == Status::Refused);
 }
 
-// An operator waits at a daemon that started a moment ago. It knows only itself, and the platform's
-// list of VMs lags: what it sees may not be everywhere, so that it must not say so.
+// A daemon that has just started knows only itself, because the platform's list of VMs lags. It
+// must not report a revision as in force everywhere.
 Test(execute, waitDoesNotTrustAViewBeforeTheListShowedTheDaemon)
 {
     FakeBackend fake;
