--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -29,8 +29,8 @@
     return boost::json::serialize(body);
 }
 
-/// \brief One exchange on a connection of its own. Asynchronous inside: the timeouts of
-/// beast::tcp_stream hold for asynchronous operations only.
+/// \brief One HTTP request and reply on a new connection. Runs asynchronous operations on its own
+/// io_context, since the timeouts of beast::tcp_stream apply to asynchronous operations only.
 class Exchange
 {
 public:
@@ -42,7 +42,8 @@
         m_stream.expires_after(timeout);
     }
 
-    /// \throws boost::system::system_error where the daemon can't be reached or doesn't answer.
+    /// \throws boost::system::system_error if the daemon can't be reached or does not answer in
+    /// time.
     [[nodiscard]] Reply run()
     {
         m_stream.async_connect(m_address, [this](beast::error_code error) { connected(error); });
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -9,36 +9,37 @@
 
 namespace baobabtrail::ctl {
 
-/// \brief What one statement is sent with.
+/// \brief Request to the administration API: one statement and its options.
 struct Call
 {
     std::string text;
     std::string changeId;
-    std::optional<std::uint64_t> expected;
+    std::optional<std::uint64_t> expected; ///< Refuse the change if the newest revision is another.
     bool dryRun = false;
 };
 
-/// \brief Reply of a daemon, as its status and JSON body.
+/// \brief HTTP reply of a daemon: status code and JSON body.
 struct Reply
 {
     unsigned httpStatus = 0;
     std::string body;
 };
 
-/// \brief Sends statements to the administration API of one of several daemons.
+/// \brief Client of the administration API that fails over between several daemons.
 class AdminClient
 {
 public:
-    /// \param daemons Addresses of administration APIs, tried in their order.
-    /// \param key Key of an operator or a workspace. \param timeout For one daemon.
+    /// \param daemons Addresses of administration APIs, tried in this order.
+    /// \param key Access key of an operator or a workspace.
+    /// \param timeout Bounds the exchange with each daemon.
     AdminClient(std::vector<Endpoint> daemons, std::string key, Duration timeout);
 
-    /// \brief Asks the first daemon that answers. Asking the next one after a lost reply is
-    /// harmless, since a change is in the log at most once by its id.
-    /// \return The reply, or nothing where no daemon answered.
+    /// \brief Sends a statement to each daemon in turn until one answers. Retrying at the next
+    /// daemon after a lost reply is safe: the log accepts a change id at most once.
+    /// \return The reply, or std::nullopt where no daemon answered.
     [[nodiscard]] std::optional<Reply> execute(const Call &call);
 
-    /// \return What the daemons that did not answer failed with.
+    /// \return Address and error of each daemon that failed during the last execute().
     [[nodiscard]] const std::vector<std::string> &failures() const noexcept { return m_failures; }
 
 private:
--- a/src/ctl/explain_flow.cpp
+++ b/src/ctl/explain_flow.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-/// Lines of other things are shown this long before and after the flow's own.
+/// Context is printed from this long before the flow's first line to this long after its last.
 constexpr double ContextSeconds = 2.0;
 
-/// \return A number with one decimal, as people read it.
+/// \return A number rounded to one decimal.
 [[nodiscard]] std::string formatDecimal(double value)
 {
     std::array<char, 32> digits{};
@@ -30,10 +30,10 @@
     return status == std::errc{} ? std::string{digits.data(), end} : std::to_string(value);
 }
 
-/// \brief One line of a log.
+/// \brief One parsed log line.
 struct Line
 {
-    double seconds = 0; ///< Within the day.
+    double seconds = 0; ///< Since midnight, UTC.
     std::string time;
     std::string daemon;
     json::object fields;
@@ -51,7 +51,7 @@
     }
 };
 
-/// \return Seconds of "2026-05-01T21:39:06.108882Z" within its day.
+/// \return Seconds since midnight of a time such as "2026-05-01T21:39:06.108882Z".
 [[nodiscard]] double secondsOf(const std::string &time)
 {
     constexpr std::size_t clockAt = 11;
@@ -98,7 +98,7 @@
     return own == flow || (own.starts_with(flow) && own[flow.size()] == '>');
 }
 
-/// \return Whether a line tells of a start, a stop, or something that a daemon depends on.
+/// \return Whether a line reports a start, a stop, or a change in a dependency of the daemon.
 [[nodiscard]] bool isDaemonEvent(const Line &line)
 {
     static const std::set<std::string> events{"start",       "ready",          "stop",
@@ -127,7 +127,7 @@
     std::string_view text;
 };
 
-/// The first of these that a flow's lines show is its cause.
+/// In order of precedence: the first whose event is among a flow's lines is printed as the cause.
 constexpr std::array Causes{
     Cause{"target_gone",
           "its target left while it acknowledged nothing; the flow was ended so that "
--- a/src/ctl/explain_flow.h
+++ b/src/ctl/explain_flow.h
@@ -5,15 +5,18 @@
 
 namespace baobabtrail::ctl {
 
-/// \brief Tells the story of one flow from the logs of all daemons.
+/// \brief Prints the events of one flow, in order of time, from the logs of all daemons.
 ///
-/// Prints, in the order of their times, the lines that name the flow, and between the first and the
-/// last of them (two seconds more on either side) what else decided: changes of belief of the
-/// flow's targets, and starts, stops and lost or regained dependencies of the daemons that saw it.
-/// A last line names the cause as far as the lines show it. \param log Lines of JSON as daemons
-/// write them; text before the first brace of a line is kept as the name of its daemon, and lines
-/// that are no JSON are counted and passed over. \param flow As "100.64.0.7:40001>198.18.0.1:443";
-/// the caller's end alone is enough. \return Whether any line names the flow.
+/// Prints the lines that name the flow. For the time from two seconds before the first of them to
+/// two seconds after the last, it adds the context: state changes of the flow's targets, and
+/// starts, stops and lost or regained dependencies of the daemons that logged the flow.
+/// The last line names the cause, as far as the log shows it.
+///
+/// \param log JSON lines as written by the daemons. The last word before a line's first brace is
+/// taken as the name of its daemon. Lines without a brace are ignored; lines that are not valid
+/// JSON events are skipped and counted.
+/// \param flow Such as "100.64.0.7:40001>198.18.0.1:443"; the caller's end alone is enough.
+/// \return Whether any line names the flow.
 [[nodiscard]] bool explainFlow(std::istream &log, std::string_view flow, std::ostream &out);
 
 } // namespace baobabtrail::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -50,7 +50,8 @@
 
 Exit status: 0 done, 1 refused, 2 usage, 3 outcome unknown, 4 no daemon answered.)";
 
-/// \throws std::runtime_error where the file can't be read or is empty.
+/// \return The first line of the file.
+/// \throws std::runtime_error if the file can't be read or its first line is empty.
 [[nodiscard]] std::string readKey(const std::string &path)
 {
     std::ifstream file(path);
@@ -111,7 +112,7 @@
     return statement;
 }
 
-/// \brief Shows one screen after the other, until --rounds are over or no daemon answers.
+/// \brief Refreshes the screen of "top" until --rounds screens are printed or a query fails.
 [[nodiscard]] Status runTop(const Session::Execute &execute)
 {
     constexpr const char *clearScreen = "\033[H\033[2J";
--- a/src/ctl/render.cpp
+++ b/src/ctl/render.cpp
@@ -55,7 +55,7 @@
         for (const boost::json::value &row : value.at("rows").as_array()) {
             result.rows.push_back(readTexts(row));
             if (result.rows.back().size() != result.columns.size())
-                throw std::invalid_argument("the reply has a row of another width");
+                throw std::invalid_argument("the reply has a row with a wrong number of cells");
         }
         return result;
     } catch (const boost::system::system_error &error) {
--- a/src/ctl/render.h
+++ b/src/ctl/render.h
@@ -7,11 +7,11 @@
 
 namespace baobabtrail::ctl {
 
-/// \brief Reads the JSON of language::toJson().
-/// \throws std::invalid_argument where the text is something else.
+/// \brief Parses a result from the JSON that language::toJson() writes.
+/// \throws std::invalid_argument if the JSON is malformed or is not a result.
 [[nodiscard]] language::Result readResult(std::string_view json);
 
-/// \return Messages, then the table with aligned columns.
+/// \return The messages, one a line, followed by the table with aligned columns.
 [[nodiscard]] std::string renderText(const language::Result &result);
 
 } // namespace baobabtrail::ctl
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -60,7 +60,7 @@
         ++number;
         if (isStatement(line)) {
             Call call = callFor(line);
-            // One id for two changes would make the second one look as accepted before.
+            // With the same id, the second change would be reported as already accepted.
             if (!m_options.changeId.empty())
                 call.changeId += '-' + std::to_string(number);
             const Status status = send(call);
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -10,32 +10,37 @@
 
 namespace baobabtrail::ctl {
 
-/// \brief How statements are sent and shown.
+/// \brief Options for sending statements and printing their results.
 struct SessionOptions
 {
     bool json = false;
     bool dryRun = false;
-    bool keepGoing = false; ///< A script goes on after a statement that failed.
-    std::string changeId;   ///< Empty: one is drawn for each change. In a script, the number of
-                            ///< the line follows it.
+    bool keepGoing = false; ///< Continue a script after a failed statement.
+    std::string changeId; ///< If empty, each change gets a random id. In a script, the line number
+                          ///< is appended.
     std::optional<std::uint64_t> expected;
 };
 
-/// \brief Runs statements one after the other and shows their results.
+/// \brief Sends statements one by one and prints their results.
 class Session
 {
 public:
     using Execute = std::function<std::optional<Reply>(const Call &)>;
 
-    /// \param execute Sends one statement. \param newChangeId Draws a change id.
+    /// \param execute Sends one statement.
+    /// \param newChangeId Generates a change id.
+    /// \param out Takes results of successful statements, and the prompt.
+    /// \param errors Takes results of failed statements, and errors.
     Session(SessionOptions options, Execute execute, std::function<std::string()> newChangeId,
             std::ostream &out, std::ostream &errors);
 
     /// \return Status of the statement.
     [[nodiscard]] language::Status run(const std::string &statement);
 
-    /// \brief Runs each line of a script; blank lines and lines that begin with # are passed over.
-    /// \return The first status other than Done.
+    /// \brief Runs each line of a script as a statement; skips blank lines and lines that begin
+    /// with #.
+    /// \param prompt Interactive: prints a prompt, and continues after a failed statement.
+    /// \return The first status other than Done, or Done.
     [[nodiscard]] language::Status runScript(std::istream &script, bool prompt);
 
 private:
--- a/src/ctl/top.cpp
+++ b/src/ctl/top.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::string_view Prefix = "baobabtrail_";
-/// Of daemons of either kind; a page has those of its own.
+/// Metrics of both kinds of daemon, with and without direct forwarding; a page has those of its
+/// kind.
 constexpr std::array<std::string_view, 18> Shown{
     "config_revision", "config_age_seconds", "members_alive",          "owned_targets",
     "requests_held",   "running_attempts",   "owned_imbalance",        "requests_total",
@@ -40,7 +41,7 @@
     return readResult(reply->body);
 }
 
-/// Number in a cell; a cell without one counts as less than any.
+/// \return The number in a cell, or -1 where the cell holds none, which sorts it last.
 [[nodiscard]] int countIn(const std::string &cell)
 {
     if (cell.empty() || cell.find_first_not_of("0123456789") != std::string::npos)
@@ -48,7 +49,7 @@
     return std::stoi(cell.substr(0, 9));
 }
 
-/// Keeps the rows with the largest numbers in a column.
+/// \brief Sorts the rows by a column, largest number first, and drops all after the first \a most.
 void keepLargest(language::Result &result, std::string_view column, std::size_t most)
 {
     const auto found = std::find(result.columns.begin(), result.columns.end(), column);
--- a/src/ctl/top.h
+++ b/src/ctl/top.h
@@ -9,14 +9,15 @@
 
 namespace baobabtrail::ctl {
 
-/// \brief The lines of a metrics page that a glance at a daemon needs, shortened.
+/// \brief Selects the key metrics of a daemon from its metrics page.
 /// \param page Text in Prometheus' exposition format.
-/// \return One "name{labels} value" for each, without the common prefix.
+/// \return One "name{labels} value" for each, without the prefix "baobabtrail_".
 [[nodiscard]] std::vector<std::string> selectMetrics(std::string_view page);
 
-/// \brief One screen: gauges and totals, what is leaving, the targets with most requests first.
+/// \brief Renders one screen of "top": key metrics, leaving targets, and the 20 targets with the
+/// most running requests.
 /// \param execute Sends a statement to a daemon.
-/// \return The text, or nothing where no daemon answered.
+/// \return The screen, or std::nullopt where a query failed.
 [[nodiscard]] std::optional<std::string> topScreen(const Session::Execute &execute);
 
 } // namespace baobabtrail::ctl
