--- a/tests/ctl/explain_flow_test.cpp
+++ b/tests/ctl/explain_flow_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Lines of two daemons, as they were written on days with a fault; shortened.
+// Shortened log lines of two daemons, recorded during faults.
 constexpr const char *Log = R"(
  41.0 edge-1 {"time":"2026-05-01T21:39:06.100000Z","severity":"info","part":"flows","event":"placed","flow":"100.64.0.7:4001>198.18.0.1:443","target":"i-1","in_flight":2}
 no json at all
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// A caller complains; the engineer on call has the logs and the flow's id.
-// What happened to the flow has to come in order, with what the daemon knew, and nothing else.
+// Guards against a report with missing or unordered events of the flow, without its context of
+// targets and daemons, or with lines of other flows.
 Test(explainFlow, printsTheEventsOfAFlowInOrder)
 {
     std::istringstream log{Log};
--- a/tests/ctl/help_test.cpp
+++ b/tests/ctl/help_test.cpp
@@ -4,13 +4,13 @@
 
 using namespace baobabtrail::test;
 
-// Guards against a help that begins with flags of a library and names a folder of its build.
+// Guards against --help that starts with gflags' own flags and shows source paths of the build.
 Test(help, showsTheProgramsOwnFlagsOnly)
 {
     for (const std::string program : {"baobabtraild", "baobabctl"}) {
         Process help{program, {"--help"}, Process::Output::Unread};
         std::string text;
-        constexpr int maxLines = 60; // Behind the end of the output they are empty.
+        constexpr int maxLines = 60; // Lines after the end of the output are empty.
         for (int line = 0; line < maxLines; ++line)
             text += help.readLine() + '\n';
         cr_assert_eq(help.waitForEnd(), 0);
