--- a/tests/explain/tables_test.cpp
+++ b/tests/explain/tables_test.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-/// \brief A cluster with one target that takes flows and one that drains, and statements to one
-/// daemon.
+/// \brief Cluster with one ready and one draining target, that runs statements at one daemon.
 struct DirectTablesFixture
 {
     LoggedCluster system{3};
@@ -87,7 +86,7 @@
     cr_assert(cell(result, 0, "late") == "-");
 }
 
-// Guards against a domain that looks in use to the operator who wants it empty.
+// Guards against an evacuated domain that is still shown as in use.
 Test(directTables, showsWhichDomainsAreEvacuated)
 {
     DirectTablesFixture asked;
@@ -101,7 +100,8 @@
     cr_assert(cell(after, 0, "targets") == cell(before, 0, "targets"));
 }
 
-// Operators who know the product's own commands try one here; the daemon must not seem to do it.
+// With direct forwarding, changes are made in the store. A daemon must refuse commands of the
+// operators' language and say so, instead of seeming to run them.
 Test(directTables, refusesCommandsAndSaysWhereTheyBelong)
 {
     const DirectTablesFixture asked;
--- a/tests/explain/walkthrough_test.cpp
+++ b/tests/explain/walkthrough_test.cpp
@@ -3,8 +3,8 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// The walk-throughs of docs/OPERATIONS.md: from a caller's complaint to the cause, with the lines
-// that the daemons wrote and nothing else.
+// The walk-throughs of docs/OPERATIONS.md: the cause of a caller's complaint can be found from the
+// daemons' log lines alone.
 
 namespace {
 
@@ -23,8 +23,9 @@
 
 } // namespace
 
-// A caller's feed is open when all daemons are killed, and it goes on through one that has just
-// started. It asked while nobody forwarded, and asks again: the story shows the start before that.
+// All daemons are killed while a flow is open, and it continues through a daemon that has just
+// started. The caller retransmits what it sent while no daemon was up: the explanation shows the
+// daemon's start before the retransmission.
 Test(explain, aFeedGoneSilent)
 {
     LoggedCluster system{3};
@@ -45,8 +46,9 @@
                    "cause: the caller sent again: its target acknowledged nothing"});
 }
 
-// The store is away, and a caller opens a flow at an address that no daemon has heard of: it may be
-// new. It gets no answer; the story names the age of the view and the dependency that is lost.
+// During a store outage, a caller opens a flow to an address that no daemon knows, which may belong
+// to a new route. It gets no answer. The log gives the age of the daemon's view and the lost
+// dependency.
 Test(explain, anOpeningThatNobodyAnswers)
 {
     LoggedCluster system{3};
@@ -66,8 +68,8 @@
     expectInOrder(system.text(), {"\"event\":\"store_lost\"", "\"why\":"});
 }
 
-// A target that takes 35 ms as a rule takes 170 ms once. The story shows that it looked well when
-// it was chosen, and how late its answer was.
+// A target that usually answers in 35 ms takes 170 ms once. The explanation shows that it looked
+// healthy when it was chosen, and how late its answer was.
 Test(explain, aRequestThatCameLate)
 {
     LoggedCluster system{3};
@@ -85,8 +87,9 @@
                    "usual_ms=35.0", "cause: its target answered late"});
 }
 
-// Answers take 150 ms where the route promises 200: the target counts as saturated. The next
-// request waits for the one before it; the story says for what, how long, and what decided.
+// Answers take 150 ms on a route with a target latency of 200 ms: the target counts as saturated,
+// and the next request waits for the one before it. The explanation says for which target, how
+// long, and on which measurements.
 Test(explain, aRequestThatWaitedForASaturatedTarget)
 {
     LoggedCluster system{3};
@@ -118,9 +121,8 @@
                    "cause: its target was saturated; the request waited before it went on"});
 }
 
-// At overload a daemon writes a bounded number of lines of each kind. Nothing goes missing unsaid:
-// the next line of the kind tells how many were left out, and refusals are not among the
-// placements.
+// At overload a daemon writes a bounded number of log lines of each kind, and the next line of the
+// kind says how many were left out. Refusals must not be suppressed by the limit on placements.
 Test(explain, whatIsLeftOutIsCountedAndSaid)
 {
     LoggedCluster system{3, 20};
@@ -137,8 +139,8 @@
     expectInOrder(system.text(), {"\"event\":\"no_route\"", "\"left_out\":280"});
 }
 
-// A daemon's routes stay old while the others have the new ones: nothing reaches it from them. Its
-// log names each question that brought nothing: whom it asked, how long it waited, how much came.
+// A daemon that is cut off from its peers keeps old routes while the others have new ones. Its log
+// names each unanswered query: the peer, the waiting time and the bytes received.
 Test(explain, aChangeThatIsNotInForce)
 {
     LoggedCluster system{6};
@@ -150,8 +152,8 @@
                    "\"wait_ms\":1600", "\"took_ms\":2000", "\"bytes\":0", "\"why\":\"no answer\""});
 }
 
-// The same daemon goes on trying others for a while: one line says so, and how often it has tried,
-// where hundreds that search would write one for each try.
+// The same daemon keeps trying other peers. Its log reports the search and the number of tries in
+// a few lines: with a line for each try, hundreds of searching daemons would flood the logs.
 Test(explain, aSearchThatGoesOnHasFewLines)
 {
     LoggedCluster system{6};
