--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -70,12 +70,12 @@
         const auto endpoint = parseEndpoint(item);
         if (!endpoint) {
             throw std::runtime_error("--daemons: '" + item
-                                     + "' is no address such as 127.0.0.1:7070");
+                                     + "' is not an address such as 127.0.0.1:7070");
         }
         daemons.push_back(*endpoint);
     }
     if (daemons.empty())
-        throw std::runtime_error("--daemons: names no address");
+        throw std::runtime_error("--daemons: the list of addresses is empty");
     return daemons;
 }
 
