--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -57,7 +57,7 @@
     , m_administration("administration", m_settings.restarts, runtime())
     , m_root("daemon", without(m_settings.restarts, NoFailures), runtime())
 {
-    buildTree();
+    buildSupervisors();
 }
 
 Daemon::~Daemon()
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -52,7 +52,7 @@
     void stop();
 
 private:
-    void buildTree();
+    void buildSupervisors();
     void addNetwork();
     void addCore();
     void startTrafficCore(const FailureHandler &failed);
@@ -60,8 +60,8 @@
     void startSignals();
     [[nodiscard]] SupervisorRuntime runtime();
 
-    [[nodiscard]] TrafficPorts trafficPorts();
-    [[nodiscard]] ControlPorts controlPorts();
+    [[nodiscard]] TrafficCallbacks trafficCallbacks();
+    [[nodiscard]] ControlCallbacks controlCallbacks();
     [[nodiscard]] language::Backend backend();
 
     void callPlatform(const PlatformRequest &request, std::function<void(PlatformResult)> done);
--- a/src/daemon/nodes/control_runner.cpp
+++ b/src/daemon/nodes/control_runner.cpp
@@ -11,11 +11,11 @@
 
 ControlRunner::ControlRunner(boost::asio::io_context &context, const NodeIdentity &identity,
                              const ControlSettings &settings, std::shared_ptr<const KeyRing> keys,
-                             std::uint64_t seed, ControlPorts ports, FailureHandler failed)
+                             std::uint64_t seed, ControlCallbacks callbacks, FailureHandler failed)
     : m_context(context)
     , m_identity(identity)
     , m_keys(std::move(keys))
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(callbacks))
     , m_failed(std::move(failed))
     , m_node(identity, settings, seed)
     , m_timer(
@@ -34,7 +34,7 @@
 {
     if (m_broken)
         return;
-    guarded(failOnce(), [&] {
+    guarded(failureHandler(), [&] {
         m_node.start(monotonicNow(), m_actions);
         perform();
         m_timer.update();
@@ -45,7 +45,7 @@
 {
     if (m_broken)
         return;
-    guarded(failOnce(), [&] {
+    guarded(failureHandler(), [&] {
         m_node.handle(std::move(event), monotonicNow(), wallNow(), m_actions);
         perform();
         m_timer.update();
@@ -85,10 +85,10 @@
         }
         done(std::move(status));
     };
-    m_ports.fetch(records, wire::encode(RecordsMessage{FetchStatus{}}, *m_keys), answered);
+    m_callbacks.fetch(records, wire::encode(RecordsMessage{FetchStatus{}}, *m_keys), answered);
 }
 
-FailureHandler ControlRunner::failOnce()
+FailureHandler ControlRunner::failureHandler()
 {
     return [this](const std::string &why) {
         m_broken = true;
@@ -108,7 +108,7 @@
 {
     const PeerDatagram datagram{m_identity.daemon, m_identity.incarnation,
                                 std::move(action.message)};
-    m_ports.toPeer(action.peer, wire::encode(datagram, *m_keys));
+    m_callbacks.toPeer(action.peer, wire::encode(datagram, *m_keys));
 }
 
 void ControlRunner::perform(FetchFromPeer &action)
@@ -118,13 +118,13 @@
         if (!alive.expired())
             handle(FetchResult{records, decode(bytes)});
     };
-    m_ports.fetch(action.records, wire::encode(action.message, *m_keys), answered);
+    m_callbacks.fetch(action.records, wire::encode(action.message, *m_keys), answered);
 }
 
 void ControlRunner::perform(PlatformCall &action)
 {
-    m_ports.platform(action.request, [this, call = action.call,
-                                      alive = std::weak_ptr{m_alive}](PlatformResult result) {
+    m_callbacks.platform(action.request, [this, call = action.call,
+                                          alive = std::weak_ptr{m_alive}](PlatformResult result) {
         if (!alive.expired())
             handle(PlatformReply{call, std::move(result)});
     });
--- a/src/daemon/nodes/control_runner.h
+++ b/src/daemon/nodes/control_runner.h
@@ -18,7 +18,7 @@
 
 /// \brief What a control node's actions are carried out by. Handlers that are passed on are to be
 /// called once, later.
-struct ControlPorts
+struct ControlCallbacks
 {
     using Answer = std::function<void(std::optional<std::string>)>;
 
@@ -38,7 +38,7 @@
 
     ControlRunner(boost::asio::io_context &context, const NodeIdentity &identity,
                   const ControlSettings &settings, std::shared_ptr<const KeyRing> keys,
-                  std::uint64_t seed, ControlPorts ports, FailureHandler failed);
+                  std::uint64_t seed, ControlCallbacks callbacks, FailureHandler failed);
     /// \brief Ends what is proposed with an unknown outcome.
     ~ControlRunner();
     ControlRunner(const ControlRunner &) = delete;
@@ -60,15 +60,15 @@
 
 private:
     /// \brief After an exception the node may hold half of a change: it gets no further event.
-    [[nodiscard]] FailureHandler failOnce();
+    [[nodiscard]] FailureHandler failureHandler();
     void perform();
     void perform(ControlSendToPeer &action);
     void perform(FetchFromPeer &action);
     void perform(PlatformCall &action);
-    void perform(PublishConfig &action) { m_ports.publishConfig(action.config); }
-    void perform(PublishView &action) { m_ports.publishView(action.view); }
+    void perform(PublishConfig &action) { m_callbacks.publishConfig(action.config); }
+    void perform(PublishView &action) { m_callbacks.publishView(action.view); }
     void perform(ProposalDone &action);
-    void perform(Notice &action) { m_ports.notice(action); }
+    void perform(Notice &action) { m_callbacks.notice(action); }
 
     [[nodiscard]] std::optional<RecordsMessage>
     decode(const std::optional<std::string> &bytes) const;
@@ -76,7 +76,7 @@
     boost::asio::io_context &m_context;
     NodeIdentity m_identity;
     std::shared_ptr<const KeyRing> m_keys;
-    ControlPorts m_ports;
+    ControlCallbacks m_callbacks;
     FailureHandler m_failed;
     ControlNode m_node;
     ControlActions m_actions;
--- a/src/daemon/nodes/traffic_runner.cpp
+++ b/src/daemon/nodes/traffic_runner.cpp
@@ -9,11 +9,11 @@
 
 TrafficRunner::TrafficRunner(boost::asio::io_context &context, const NodeIdentity &identity,
                              const TrafficSettings &settings, std::shared_ptr<const KeyRing> keys,
-                             std::uint64_t seed, TrafficPorts ports, FailureHandler failed)
+                             std::uint64_t seed, TrafficCallbacks callbacks, FailureHandler failed)
     : m_context(context)
     , m_identity(identity)
     , m_keys(std::move(keys))
-    , m_ports(std::move(ports))
+    , m_callbacks(std::move(callbacks))
     , m_failed(std::move(failed))
     , m_node(identity, settings, m_keys, seed)
     , m_timer(
@@ -26,14 +26,14 @@
 {
     if (m_broken)
         return;
-    guarded(failOnce(), [&] {
+    guarded(failureHandler(), [&] {
         m_node.handle(std::move(event), monotonicNow(), m_actions);
         perform();
         m_timer.update();
     });
 }
 
-FailureHandler TrafficRunner::failOnce()
+FailureHandler TrafficRunner::failureHandler()
 {
     return [this](const std::string &why) {
         m_broken = true;
@@ -50,19 +50,19 @@
 
 void TrafficRunner::perform(SendToCaller &action)
 {
-    m_ports.toCaller(action.caller, wire::encode(action.message));
+    m_callbacks.toCaller(action.caller, wire::encode(action.message));
 }
 
 void TrafficRunner::perform(SendToPeer &action)
 {
     const PeerDatagram datagram{m_identity.daemon, m_identity.incarnation,
                                 std::move(action.message)};
-    m_ports.toPeer(action.peer, wire::encode(datagram, *m_keys));
+    m_callbacks.toPeer(action.peer, wire::encode(datagram, *m_keys));
 }
 
 void TrafficRunner::perform(SendToTarget &action)
 {
-    m_ports.toTarget(action.target, wire::encode(action.datagram));
+    m_callbacks.toTarget(action.target, wire::encode(action.datagram));
 }
 
 void TrafficRunner::perform(ProposeCommand &action)
@@ -71,7 +71,7 @@
     // has to wait until the actions of the present event are done.
     boost::asio::post(m_context, [this, action, alive = std::weak_ptr{m_alive}] {
         if (!alive.expired())
-            m_ports.propose(action);
+            m_callbacks.propose(action);
     });
 }
 
--- a/src/daemon/nodes/traffic_runner.h
+++ b/src/daemon/nodes/traffic_runner.h
@@ -14,7 +14,7 @@
 namespace baobabtrail::daemon {
 
 /// \brief What a traffic node's actions are carried out by.
-struct TrafficPorts
+struct TrafficCallbacks
 {
     std::function<void(const Endpoint &, std::string)> toCaller;
     std::function<void(const Endpoint &, std::string)> toPeer;
@@ -35,7 +35,7 @@
 public:
     TrafficRunner(boost::asio::io_context &context, const NodeIdentity &identity,
                   const TrafficSettings &settings, std::shared_ptr<const KeyRing> keys,
-                  std::uint64_t seed, TrafficPorts ports, FailureHandler failed);
+                  std::uint64_t seed, TrafficCallbacks callbacks, FailureHandler failed);
     TrafficRunner(const TrafficRunner &) = delete;
     TrafficRunner &operator=(const TrafficRunner &) = delete;
 
@@ -45,23 +45,23 @@
 
 private:
     /// \brief After an exception the node may hold half of a change: it gets no further event.
-    [[nodiscard]] FailureHandler failOnce();
+    [[nodiscard]] FailureHandler failureHandler();
     void perform();
     void perform(SendToCaller &action);
     void perform(SendToPeer &action);
     void perform(SendToTarget &action);
-    void perform(OpenLink &action) { m_ports.openLink(action); }
-    void perform(CloseLink &action) { m_ports.closeLink(action); }
-    void perform(SendOnLink &action) { m_ports.sendOnLink(action); }
+    void perform(OpenLink &action) { m_callbacks.openLink(action); }
+    void perform(CloseLink &action) { m_callbacks.closeLink(action); }
+    void perform(SendOnLink &action) { m_callbacks.sendOnLink(action); }
     void perform(ProposeCommand &action);
-    void perform(Notice &action) { m_ports.notice(action); }
-    void perform(Observation &action) { m_ports.observe(action); }
-    void perform(Stopped &) { m_ports.stopped(); }
+    void perform(Notice &action) { m_callbacks.notice(action); }
+    void perform(Observation &action) { m_callbacks.observe(action); }
+    void perform(Stopped &) { m_callbacks.stopped(); }
 
     boost::asio::io_context &m_context;
     NodeIdentity m_identity;
     std::shared_ptr<const KeyRing> m_keys;
-    TrafficPorts m_ports;
+    TrafficCallbacks m_callbacks;
     FailureHandler m_failed;
     TrafficNode m_node;
     TrafficActions m_actions;
