--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -40,7 +40,7 @@
     , m_metrics(m_settings.metrics.maxWorkspaces)
     , m_log(m_settings.log.linesPerSecond)
     , m_keys(keysOf(m_settings))
-    , m_sorter(
+    , m_dispatcher(
           m_settings.fabric, m_keys, m_metrics.counters(),
           [this](TrafficEvent event) {
               if (m_traffic)
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -4,7 +4,7 @@
 #include "core/traffic/settings.h"
 #include "daemon/admin/admin_api.h"
 #include "daemon/admin/http_server.h"
-#include "daemon/datagrams.h"
+#include "daemon/datagram_dispatcher.h"
 #include "daemon/exit_status.h"
 #include "daemon/log/log.h"
 #include "daemon/metrics/metrics.h"
@@ -91,7 +91,7 @@
     std::unique_ptr<ControlRunner> m_control;
     std::unique_ptr<HttpServer> m_http;
     std::unique_ptr<boost::asio::signal_set> m_signals;
-    DatagramSorter m_sorter;
+    DatagramDispatcher m_dispatcher;
 
     RestartableTimer m_stopTimer;
     QuietWait m_quiet;
--- a/src/daemon/daemon_supervisors.cpp
+++ b/src/daemon/daemon_supervisors.cpp
@@ -45,14 +45,14 @@
 
     m_network.add(ownerOf("data socket", m_dataSocket, [&, this](const FailureHandler &failed) {
         const auto receive = [this](const Endpoint &from, std::string_view bytes) {
-            m_sorter.fromFabric(from, bytes);
+            m_dispatcher.fromFabric(from, bytes);
         };
         m_dataSocket = std::make_unique<UdpSocket>(m_context, listen.data, m_settings.sockets,
                                                    counters.data, receive, failed);
     }));
     m_network.add(ownerOf("peer socket", m_peerSocket, [&, this](const FailureHandler &failed) {
         const auto receive = [this](const Endpoint &from, std::string_view bytes) {
-            m_sorter.fromPeer(from, bytes);
+            m_dispatcher.fromPeer(from, bytes);
         };
         m_peerSocket = std::make_unique<UdpSocket>(m_context, listen.peer, m_settings.sockets,
                                                    counters.peer, receive, failed);
--- a/src/daemon/datagrams.cpp
+++ b/src/daemon/datagram_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "daemon/datagrams.h"
+#include "daemon/datagram_dispatcher.h"
 
 #include "daemon/net/frame_kind.h"
 #include "wire/codec.h"
@@ -23,10 +23,10 @@
 
 } // namespace
 
-DatagramSorter::DatagramSorter(std::vector<std::uint32_t> fabric,
-                               std::shared_ptr<const KeyRing> keys, Counters &counters,
-                               std::function<void(TrafficEvent)> toTraffic,
-                               std::function<void(ControlEvent)> toControl)
+DatagramDispatcher::DatagramDispatcher(std::vector<std::uint32_t> fabric,
+                                       std::shared_ptr<const KeyRing> keys, Counters &counters,
+                                       std::function<void(TrafficEvent)> toTraffic,
+                                       std::function<void(ControlEvent)> toControl)
     : m_fabric(std::move(fabric))
     , m_keys(std::move(keys))
     , m_counters(counters)
@@ -35,7 +35,7 @@
 {
 }
 
-void DatagramSorter::fromFabric(const Endpoint &from, std::string_view bytes)
+void DatagramDispatcher::fromFabric(const Endpoint &from, std::string_view bytes)
 {
     // Anyone else could put any caller's or target's address in front of a datagram.
     const bool trusted
@@ -46,15 +46,15 @@
         return;
     }
     if (isTargetFrame(proxied->payload))
-        takeTarget(proxied->source, proxied->payload, m_counters.data);
+        handleTarget(proxied->source, proxied->payload, m_counters.data);
     else
-        takeCaller(proxied->source, proxied->payload);
+        handleCaller(proxied->source, proxied->payload);
 }
 
-void DatagramSorter::fromPeer(const Endpoint &from, std::string_view bytes)
+void DatagramDispatcher::fromPeer(const Endpoint &from, std::string_view bytes)
 {
     if (isTargetFrame(bytes)) {
-        takeTarget(from, bytes, m_counters.peer);
+        handleTarget(from, bytes, m_counters.peer);
         return;
     }
     auto decoded = wire::decodePeer(bytes, *m_keys);
@@ -70,7 +70,7 @@
         m_toControl(ControlFromPeer{from, std::move(datagram)});
 }
 
-void DatagramSorter::takeCaller(const Endpoint &caller, std::string_view bytes)
+void DatagramDispatcher::handleCaller(const Endpoint &caller, std::string_view bytes)
 {
     auto decoded = wire::decodeCaller(bytes);
     if (const auto *error = std::get_if<wire::DecodeError>(&decoded)) {
@@ -85,8 +85,8 @@
     m_toTraffic(FromCaller{caller, std::move(message)});
 }
 
-void DatagramSorter::takeTarget(const Endpoint &target, std::string_view bytes,
-                                SocketCounters &socket)
+void DatagramDispatcher::handleTarget(const Endpoint &target, std::string_view bytes,
+                                      SocketCounters &socket)
 {
     auto decoded = wire::decodeTarget(bytes);
     if (const auto *error = std::get_if<wire::DecodeError>(&decoded)) {
--- a/src/daemon/datagrams.h
+++ b/src/daemon/datagram_dispatcher.h
@@ -13,13 +13,13 @@
 namespace baobabtrail::daemon {
 
 /// \brief Turns datagrams of the two UDP sockets into events, and counts what it can't.
-class DatagramSorter
+class DatagramDispatcher
 {
 public:
     /// \param fabric IPv4 addresses whose PROXY headers are believed.
-    DatagramSorter(std::vector<std::uint32_t> fabric, std::shared_ptr<const KeyRing> keys,
-                   Counters &counters, std::function<void(TrafficEvent)> toTraffic,
-                   std::function<void(ControlEvent)> toControl);
+    DatagramDispatcher(std::vector<std::uint32_t> fabric, std::shared_ptr<const KeyRing> keys,
+                       Counters &counters, std::function<void(TrafficEvent)> toTraffic,
+                       std::function<void(ControlEvent)> toControl);
 
     /// \brief A datagram of the data socket: of a caller or a target, through the fabric.
     void fromFabric(const Endpoint &from, std::string_view bytes);
@@ -27,8 +27,8 @@
     void fromPeer(const Endpoint &from, std::string_view bytes);
 
 private:
-    void takeCaller(const Endpoint &caller, std::string_view bytes);
-    void takeTarget(const Endpoint &target, std::string_view bytes, SocketCounters &socket);
+    void handleCaller(const Endpoint &caller, std::string_view bytes);
+    void handleTarget(const Endpoint &target, std::string_view bytes, SocketCounters &socket);
 
     std::vector<std::uint32_t> m_fabric;
     std::shared_ptr<const KeyRing> m_keys;
--- a/tests/daemon/datagrams_test.cpp
+++ b/tests/daemon/datagram_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "daemon/datagrams.h"
+#include "daemon/datagram_dispatcher.h"
 #include "daemon/net/frame_kind.h"
 #include "wire/codec.h"
 
@@ -42,11 +42,11 @@
     Counters counters;
     std::vector<TrafficEvent> traffic;
     std::vector<ControlEvent> control;
-    DatagramSorter sorter{{Fabric.address},
-                          keys(),
-                          counters,
-                          [this](TrafficEvent event) { traffic.push_back(std::move(event)); },
-                          [this](ControlEvent event) { control.push_back(std::move(event)); }};
+    DatagramDispatcher sorter{{Fabric.address},
+                              keys(),
+                              counters,
+                              [this](TrafficEvent event) { traffic.push_back(std::move(event)); },
+                              [this](ControlEvent event) { control.push_back(std::move(event)); }};
 };
 
 } // namespace
