--- a/tests/daemon/datagram_dispatcher_test.cpp
+++ b/tests/daemon/datagram_dispatcher_test.cpp
@@ -37,16 +37,17 @@
 }
 
 /// \brief A sorter whose events are kept.
-struct Sorted
+struct Fixture
 {
     Counters counters;
     std::vector<TrafficEvent> traffic;
     std::vector<ControlEvent> control;
-    DatagramDispatcher sorter{{Fabric.address},
-                              keys(),
-                              counters,
-                              [this](TrafficEvent event) { traffic.push_back(std::move(event)); },
-                              [this](ControlEvent event) { control.push_back(std::move(event)); }};
+    DatagramDispatcher dispatcher{
+        {Fabric.address},
+        keys(),
+        counters,
+        [this](TrafficEvent event) { traffic.push_back(std::move(event)); },
+        [this](ControlEvent event) { control.push_back(std::move(event)); }};
 };
 
 } // namespace
@@ -56,26 +57,28 @@
 // be lost; so the kinds are told apart before either is parsed.
 Test(datagrams, eachKindBecomesItsEvent)
 {
-    Sorted sorted;
+    Fixture fixture;
     const std::string header = wire::proxyHeader(Caller, {});
-    sorted.sorter.fromFabric(Fabric, header + wire::encode(openFlow()));
-    cr_assert_eq(sorted.traffic.size(), 1);
-    const auto *caller = std::get_if<FromCaller>(&sorted.traffic[0]);
+    fixture.dispatcher.fromFabric(Fabric, header + wire::encode(openFlow()));
+    cr_assert_eq(fixture.traffic.size(), 1);
+    const auto *caller = std::get_if<FromCaller>(&fixture.traffic[0]);
     cr_assert(caller && caller->caller == Caller);
 
-    sorted.sorter.fromFabric(Fabric, wire::proxyHeader(Target, {}) + wire::encode(fromTarget()));
-    sorted.sorter.fromPeer(Target, wire::encode(fromTarget()));
-    cr_assert_eq(sorted.traffic.size(), 3);
+    fixture.dispatcher.fromFabric(Fabric,
+                                  wire::proxyHeader(Target, {}) + wire::encode(fromTarget()));
+    fixture.dispatcher.fromPeer(Target, wire::encode(fromTarget()));
+    cr_assert_eq(fixture.traffic.size(), 3);
     for (const std::size_t index : {1, 2}) {
-        const auto *target = std::get_if<FromTarget>(&sorted.traffic[index]);
+        const auto *target = std::get_if<FromTarget>(&fixture.traffic[index]);
         cr_assert(target && target->address == Target && target->datagram.caller == Caller);
     }
 
-    sorted.sorter.fromPeer(Stranger, wire::encode(PeerDatagram{{}, {}, Ping{}}, *keys()));
-    sorted.sorter.fromPeer(Stranger, wire::encode(PeerDatagram{{}, {}, HandoffReply{}}, *keys()));
-    cr_assert_eq(sorted.control.size(), 1);
-    cr_assert_eq(sorted.traffic.size(), 4);
-    cr_assert(std::holds_alternative<FromPeer>(sorted.traffic[3]));
+    fixture.dispatcher.fromPeer(Stranger, wire::encode(PeerDatagram{{}, {}, Ping{}}, *keys()));
+    fixture.dispatcher.fromPeer(Stranger,
+                                wire::encode(PeerDatagram{{}, {}, HandoffReply{}}, *keys()));
+    cr_assert_eq(fixture.control.size(), 1);
+    cr_assert_eq(fixture.traffic.size(), 4);
+    cr_assert(std::holds_alternative<FromPeer>(fixture.traffic[3]));
 }
 
 // A stranger who reaches the data address writes a PROXY header of its own: it would speak for
@@ -83,24 +86,24 @@
 // Only the fabric's addresses are believed; whatever else arrives is counted and dropped.
 Test(datagrams, whatIsForgedOrDamagedIsCountedAndDropped)
 {
-    Sorted sorted;
+    Fixture fixture;
     const std::string good = wire::proxyHeader(Caller, {}) + wire::encode(openFlow());
-    sorted.sorter.fromFabric(Stranger, good);
-    sorted.sorter.fromFabric(Fabric, wire::encode(openFlow()));
-    sorted.sorter.fromFabric(Fabric, "");
-    cr_assert_eq(sorted.counters.data.badSource, 3);
+    fixture.dispatcher.fromFabric(Stranger, good);
+    fixture.dispatcher.fromFabric(Fabric, wire::encode(openFlow()));
+    fixture.dispatcher.fromFabric(Fabric, "");
+    cr_assert_eq(fixture.counters.data.badSource, 3);
 
-    sorted.sorter.fromFabric(Fabric, wire::proxyHeader(Caller, {}) + "\x0a\xff");
-    sorted.sorter.fromFabric(Fabric, wire::proxyHeader(Caller, {}) + "\x09\xff");
+    fixture.dispatcher.fromFabric(Fabric, wire::proxyHeader(Caller, {}) + "\x0a\xff");
+    fixture.dispatcher.fromFabric(Fabric, wire::proxyHeader(Caller, {}) + "\x09\xff");
     const auto malformed = static_cast<std::size_t>(wire::DecodeError::Malformed);
-    cr_assert_eq(sorted.counters.data.decodeErrors[malformed], 2);
+    cr_assert_eq(fixture.counters.data.decodeErrors[malformed], 2);
 
     std::string ping = wire::encode(PeerDatagram{{}, {}, Ping{}}, *keys());
     ping.back() ^= 1;
-    sorted.sorter.fromPeer(Stranger, ping);
+    fixture.dispatcher.fromPeer(Stranger, ping);
     const auto badMac = static_cast<std::size_t>(wire::DecodeError::BadMac);
-    cr_assert_eq(sorted.counters.peer.decodeErrors[badMac], 1);
-    cr_assert(sorted.traffic.empty() && sorted.control.empty());
+    cr_assert_eq(fixture.counters.peer.decodeErrors[badMac], 1);
+    cr_assert(fixture.traffic.empty() && fixture.control.empty());
 }
 
 Test(datagrams, onlyATargetsEnvelopeLooksLikeOne)
