--- a/src/daemon/net/link.cpp
+++ b/src/daemon/net/link.cpp
@@ -11,11 +11,11 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-Link::Link(boost::asio::io_context &context, const LinkSettings &settings, LinkHandlers handlers)
+Link::Link(boost::asio::io_context &context, const LinkSettings &settings, LinkCallbacks callbacks)
     : m_socket(context)
     , m_connectTimer(context)
     , m_settings(settings)
-    , m_handlers(std::move(handlers))
+    , m_callbacks(std::move(callbacks))
 {
 }
 
@@ -40,7 +40,7 @@
     m_connected = true;
     error_code ignored;
     m_socket.set_option(tcp::no_delay(true), ignored);
-    m_handlers.opened();
+    m_callbacks.opened();
     if (m_closed)
         return;
     read();
@@ -57,16 +57,16 @@
                                      self->fail(error.message());
                                      return;
                                  }
-                                 self->take(size);
+                                 self->handleInput(size);
                              });
 }
 
-void Link::take(std::size_t size)
+void Link::handleInput(std::size_t size)
 {
     std::vector<LinkMessage> messages;
     const auto error = m_reader.feed({m_input.data(), size}, messages);
     for (LinkMessage &message : messages) {
-        m_handlers.received(std::move(message));
+        m_callbacks.received(std::move(message));
         if (m_closed)
             return;
     }
@@ -115,7 +115,7 @@
 {
     if (m_closed)
         return;
-    const auto closed = m_handlers.closed;
+    const auto closed = m_callbacks.closed;
     close();
     closed(why);
 }
--- a/src/daemon/net/link.h
+++ b/src/daemon/net/link.h
@@ -18,7 +18,7 @@
 
 /// \brief What a connection to a target reports. None is called from within Link's own functions,
 /// and none after close().
-struct LinkHandlers
+struct LinkCallbacks
 {
     std::function<void()> opened;
     std::function<void(LinkMessage)> received;
@@ -32,7 +32,7 @@
 class Link : public std::enable_shared_from_this<Link>
 {
 public:
-    Link(boost::asio::io_context &context, const LinkSettings &settings, LinkHandlers handlers);
+    Link(boost::asio::io_context &context, const LinkSettings &settings, LinkCallbacks callbacks);
 
     void connect(const Endpoint &target);
     void send(const LinkMessage &message);
@@ -42,7 +42,7 @@
 private:
     void connected(const boost::system::error_code &error);
     void read();
-    void take(std::size_t size);
+    void handleInput(std::size_t size);
     void write();
     void fail(const std::string &why);
 
@@ -51,7 +51,7 @@
     boost::asio::ip::tcp::socket m_socket;
     RestartableTimer m_connectTimer;
     LinkSettings m_settings;
-    LinkHandlers m_handlers;
+    LinkCallbacks m_callbacks;
     wire::LinkReader m_reader;
     std::array<char, ReadBytes> m_input;
     std::string m_queued;  ///< Waits for the write that is under way.
--- a/src/daemon/net/links.cpp
+++ b/src/daemon/net/links.cpp
@@ -21,7 +21,7 @@
 {
     const Key key{action.target, action.generation};
     close({action.target, action.generation});
-    const auto link = std::make_shared<Link>(m_context, m_settings, handlersOf(key));
+    const auto link = std::make_shared<Link>(m_context, m_settings, callbacksFor(key));
     m_links[key] = link;
     link->connect(action.address);
 }
@@ -44,24 +44,24 @@
     found->second->send(action.message);
 }
 
-LinkHandlers Links::handlersOf(const Key &key)
+LinkCallbacks Links::callbacksFor(const Key &key)
 {
     const auto opened = std::make_shared<bool>(false);
-    LinkHandlers handlers;
-    handlers.opened = [this, key, opened] {
+    LinkCallbacks callbacks;
+    callbacks.opened = [this, key, opened] {
         *opened = true;
         ++m_counters.linksOpened;
         m_report(LinkOpened{key.first, key.second});
     };
-    handlers.received = [this, key](LinkMessage message) {
+    callbacks.received = [this, key](LinkMessage message) {
         ++m_counters.linkMessagesIn;
         m_report(FromLink{key.first, key.second, std::move(message)});
     };
-    handlers.closed = [this, key, opened](const std::string &) { broken(key, *opened); };
-    return handlers;
+    callbacks.closed = [this, key, opened](const std::string &) { handleClosed(key, *opened); };
+    return callbacks;
 }
 
-void Links::broken(const Key &key, bool opened)
+void Links::handleClosed(const Key &key, bool opened)
 {
     ++(opened ? m_counters.linksBroken : m_counters.linksFailed);
     m_links.erase(key);
--- a/src/daemon/net/links.h
+++ b/src/daemon/net/links.h
@@ -37,8 +37,8 @@
 private:
     using Key = std::pair<TargetId, Generation>;
 
-    [[nodiscard]] LinkHandlers handlersOf(const Key &key);
-    void broken(const Key &key, bool opened);
+    [[nodiscard]] LinkCallbacks callbacksFor(const Key &key);
+    void handleClosed(const Key &key, bool opened);
 
     boost::asio::io_context &m_context;
     LinkSettings m_settings;
--- a/src/daemon/net/udp_socket.cpp
+++ b/src/daemon/net/udp_socket.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 // One byte more than the largest datagram with its header, to see that a longer one was cut.
-constexpr std::size_t HeaderRoom = 512;
-constexpr std::size_t SlotBytes = wire::MaxDatagramBytes + HeaderRoom + 1;
+constexpr std::size_t MaxProxyHeaderBytes = 512;
+constexpr std::size_t SlotBytes = wire::MaxDatagramBytes + MaxProxyHeaderBytes + 1;
 // Batches that are read in a row; timers, peers and targets wait no longer than these take.
-constexpr int BatchesInARow = 4;
+constexpr int MaxConsecutiveBatches = 4;
 
-[[nodiscard]] bool isPassing(int error) noexcept
+[[nodiscard]] bool isTransient(int error) noexcept
 {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ECONNREFUSED;
 }
@@ -88,9 +88,9 @@
 void UdpSocket::send(const Endpoint &to, std::string bytes)
 {
     m_outgoing.push_back({to, std::move(bytes)});
-    if (m_flushPlanned)
+    if (m_flushScheduled)
         return;
-    m_flushPlanned = true;
+    m_flushScheduled = true;
     boost::asio::post(m_socket.get_executor(), [this, alive = std::weak_ptr{m_alive}] {
         if (!alive.expired())
             flush();
@@ -123,16 +123,16 @@
 void UdpSocket::readBatches()
 {
     // What the handlers send leaves in one call behind each batch.
-    m_flushPlanned = true;
-    for (int round = 0; round < BatchesInARow; ++round) {
+    m_flushScheduled = true;
+    for (int round = 0; round < MaxConsecutiveBatches; ++round) {
         const std::size_t count = readBatch();
         deliver(count);
         flush();
-        m_flushPlanned = true;
+        m_flushScheduled = true;
         if (count < m_batchSize)
             break;
     }
-    m_flushPlanned = false;
+    m_flushScheduled = false;
 }
 
 std::size_t UdpSocket::readBatch()
@@ -142,7 +142,7 @@
                                  static_cast<unsigned>(m_batchSize), MSG_DONTWAIT, nullptr);
     if (count >= 0)
         return static_cast<std::size_t>(count);
-    if (!isPassing(errno))
+    if (!isTransient(errno))
         throw boost::system::system_error(errno, boost::system::system_category(), "recvmmsg");
     return 0;
 }
@@ -164,7 +164,7 @@
 
 void UdpSocket::flush()
 {
-    m_flushPlanned = false;
+    m_flushScheduled = false;
     std::size_t sent = 0;
     while (sent < m_outgoing.size()) {
         const std::size_t count = sendBatch(sent);
--- a/src/daemon/net/udp_socket.h
+++ b/src/daemon/net/udp_socket.h
@@ -61,7 +61,7 @@
     FailureHandler m_failed;
     std::unique_ptr<Batch> m_batch;
     std::vector<Outgoing> m_outgoing;
-    bool m_flushPlanned = false;
+    bool m_flushScheduled = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
