--- a/src/daemon/admin/http_server.cpp
+++ b/src/daemon/admin/http_server.cpp
@@ -26,20 +26,20 @@
 
 namespace {
 
-constexpr std::uint32_t MostHeaderBytes = 8192;
+constexpr std::uint32_t MaxHeaderBytes = 8192;
 /// Share of the process's file descriptors that connections of one server may use; the others are
 /// for targets, callers and the store.
-constexpr std::size_t DescriptorShare = 4;
+constexpr std::size_t DescriptorDivisor = 4;
 /// Where the limit can't be read.
-constexpr std::size_t UsualDescriptors = 1024;
+constexpr std::size_t DefaultDescriptorLimit = 1024;
 /// Longest wait for the request of a connection that is taken for one only: others wait for it.
-constexpr Duration OnceTimeout = 1s;
+constexpr Duration SingleRequestTimeout = 1s;
 
-[[nodiscard]] std::size_t mostDescriptors() noexcept
+[[nodiscard]] std::size_t descriptorLimit() noexcept
 {
     rlimit limit{};
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY)
-        return UsualDescriptors;
+        return DefaultDescriptorLimit;
     return limit.rlim_cur;
 }
 
@@ -51,7 +51,7 @@
     AdministrationSettings settings;
     HttpServer::Handle handle;
     HttpConnections connections;
-    std::size_t mostAtOnce = 0;
+    std::size_t maxOpen = 0;
     /// Goes on accepting, where that was put off until a connection ends.
     std::function<void()> resume{};
 
@@ -69,11 +69,11 @@
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
-    /// \param once It ends with its first reply.
-    HttpSession(tcp::socket socket, std::shared_ptr<HttpServerState> state, bool once)
+    /// \param singleRequest It ends with its first reply.
+    HttpSession(tcp::socket socket, std::shared_ptr<HttpServerState> state, bool singleRequest)
         : m_stream(std::move(socket))
         , m_state(std::move(state))
-        , m_once(once)
+        , m_singleRequest(singleRequest)
     {
     }
     ~HttpSession() { m_state->ended(); }
@@ -83,16 +83,17 @@
     void read()
     {
         m_parser.emplace();
-        m_parser->header_limit(MostHeaderBytes);
+        m_parser->header_limit(MaxHeaderBytes);
         m_parser->body_limit(m_state->settings.maxBodyBytes);
-        m_stream.expires_after(m_once ? std::min(OnceTimeout, timeout()) : timeout());
+        m_stream.expires_after(m_singleRequest ? std::min(SingleRequestTimeout, timeout())
+                                               : timeout());
         http::async_read(
             m_stream, m_buffer, *m_parser,
-            [self = shared_from_this()](error_code error, std::size_t) { self->taken(error); });
+            [self = shared_from_this()](error_code error, std::size_t) { self->received(error); });
     }
 
 private:
-    void taken(const error_code &error)
+    void received(const error_code &error)
     {
         if (error == http::error::body_limit) {
             m_keepAlive = false;
@@ -104,7 +105,7 @@
         // The handler may take its time, as "wait" does; the client's own timeout ends that.
         m_stream.expires_never();
         const auto message = m_parser->release();
-        m_keepAlive = message.keep_alive() && !m_once;
+        m_keepAlive = message.keep_alive() && !m_singleRequest;
         const auto authorization = message[http::field::authorization];
         const auto accepted = message[http::field::accept_encoding];
         m_state->handle({std::string{message.method_string()}, std::string{message.target()},
@@ -153,7 +154,7 @@
 
     beast::tcp_stream m_stream;
     std::shared_ptr<HttpServerState> m_state;
-    bool m_once;
+    bool m_singleRequest;
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     http::response<http::string_body> m_response;
@@ -170,7 +171,7 @@
 {
     m_state->settings = settings;
     m_state->handle = std::move(handle);
-    m_state->mostAtOnce = std::max(settings.maxConnections, mostDescriptors() / DescriptorShare);
+    m_state->maxOpen = std::max(settings.maxConnections, descriptorLimit() / DescriptorDivisor);
     try {
         m_acceptor.open(tcp::v4());
         m_acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -195,7 +196,7 @@
 void HttpServer::accept()
 {
     HttpConnections &connections = m_state->connections;
-    if (connections.open >= m_state->mostAtOnce) {
+    if (connections.open >= m_state->maxOpen) {
         ++connections.postponed;
         m_state->resume = [this] { accept(); };
         return;
@@ -209,10 +210,10 @@
                 return;
             }
             HttpConnections &known = m_state->connections;
-            const bool once = ++known.open > m_state->settings.maxConnections;
-            known.once += once;
-            known.most = std::max(known.most, known.open);
-            std::make_shared<HttpSession>(std::move(socket), m_state, once)->read();
+            const bool singleRequest = ++known.open > m_state->settings.maxConnections;
+            known.singleRequest += singleRequest;
+            known.peak = std::max(known.peak, known.open);
+            std::make_shared<HttpSession>(std::move(socket), m_state, singleRequest)->read();
             accept();
         });
 }
--- a/src/daemon/admin/http_server.h
+++ b/src/daemon/admin/http_server.h
@@ -1,4 +1,4 @@
-#pragma once
+#pragma singleRequest
 
 #include "core/endpoint.h"
 #include "daemon/settings/settings.h"
@@ -36,9 +36,9 @@
 struct HttpConnections
 {
     std::size_t open = 0;
-    std::size_t most = 0;        ///< That were open at once.
-    std::uint64_t once = 0;      ///< Ended after one reply, since enough others were kept.
-    std::uint64_t postponed = 0; ///< Times that a new one had to wait for another's end.
+    std::size_t peak = 0;            ///< That were open at once.
+    std::uint64_t singleRequest = 0; ///< Ended after one reply, since enough others were kept.
+    std::uint64_t postponed = 0;     ///< Times that a new one had to wait for another's end.
 };
 
 struct HttpServerState;
--- a/src/daemon/direct/direct_metrics.cpp
+++ b/src/daemon/direct/direct_metrics.cpp
@@ -123,10 +123,10 @@
     writeOne(page, "baobabtrail_peer_connections", "gauge", "Open connections of other daemons.",
              number(peers.open));
     writeOne(page, "baobabtrail_peer_connections_most", "gauge",
-             "Highest number of open connections of other daemons.", number(peers.most));
+             "Highest number of open connections of other daemons.", number(peers.peak));
     writeOne(page, "baobabtrail_peer_connections_once_total", "counter",
              "Connections closed after one answer because enough others were open.",
-             number(peers.once));
+             number(peers.singleRequest));
     writeOne(page, "baobabtrail_peer_connections_postponed_total", "counter",
              "New connections that had to wait until another one was closed.",
              number(peers.postponed));
--- a/tests/daemon/http_server_test.cpp
+++ b/tests/daemon/http_server_test.cpp
@@ -102,8 +102,8 @@
     rig.run([&] { return rig.results.size() == clients; });
     cr_assert_eq(answered(rig.results), clients);
     rig.run([&] { return rig.server.connections().open == Kept; });
-    cr_assert_eq(rig.server.connections().once, clients - Kept);
-    cr_assert_eq(rig.server.connections().most, clients);
+    cr_assert_eq(rig.server.connections().singleRequest, clients - Kept);
+    cr_assert_eq(rig.server.connections().peak, clients);
 }
 
 // More clients come than the process has file descriptors for. The last ones are taken once others
@@ -125,7 +125,7 @@
         return rig.results.size() == clients;
     });
     cr_assert_eq(answered(rig.results), clients);
-    cr_assert_eq(rig.server.connections().most, share);
+    cr_assert_eq(rig.server.connections().peak, share);
 }
 
 // A client that is sent elsewhere does not come again: its connection would take up a place.
