--- a/src/daemon/admin/domain_status.cpp
+++ b/src/daemon/admin/domain_status.cpp
@@ -7,68 +7,68 @@
 
 namespace {
 
-constexpr std::size_t MostTriesForDomain = 3;
+constexpr std::size_t MaxTriesPerDomain = 3;
 // Each costs a connection; those beyond it are as last heard, and the next call asks again.
-constexpr std::size_t MostOwnMembersAsked = 32;
+constexpr std::size_t MaxLocalMembersQueried = 32;
 
 /// \brief One collection that is under way.
-class Collection : public std::enable_shared_from_this<Collection>
+class StatusCollection : public std::enable_shared_from_this<StatusCollection>
 {
 public:
-    Collection(DomainStatus own, StatusFetch fetch,
-               std::function<void(std::vector<DomainStatus>)> done)
+    StatusCollection(DomainStatus local, StatusFetch fetch,
+                     std::function<void(std::vector<DomainStatus>)> done)
         : m_fetch(std::move(fetch))
         , m_done(std::move(done))
     {
-        m_results.push_back(std::move(own));
+        m_results.push_back(std::move(local));
     }
 
     void run(const View &view)
     {
-        ++m_open; // so that the last answer can't come before the last question
-        askOwnMembers(view.self);
+        ++m_pending; // so that the last answer can't come before the last question
+        queryLocalMembers(view.self);
         for (const auto &[domain, members] : view.remote)
-            askDomain(members, 0);
+            queryDomain(members, 0);
         finishOne();
     }
 
 private:
-    void askOwnMembers(DaemonId self)
+    void queryLocalMembers(DaemonId self)
     {
-        const DomainStatus own = m_results.front();
-        std::size_t asked = 0;
-        for (const MemberUpdate &member : own.members) {
-            const bool newest = member.revision >= own.revision;
+        const DomainStatus local = m_results.front();
+        std::size_t queried = 0;
+        for (const MemberUpdate &member : local.members) {
+            const bool newest = member.revision >= local.revision;
             if (newest || member.daemon == self || member.state == MemberState::Dead)
                 continue;
-            if (++asked > MostOwnMembersAsked)
+            if (++queried > MaxLocalMembersQueried)
                 break;
-            ++m_open;
+            ++m_pending;
             m_fetch(member.records, [self = shared_from_this(), id = member.daemon](
                                         const std::optional<DomainStatus> &status) {
                 if (status)
-                    self->learn(id, status->revision);
+                    self->updateRevision(id, status->revision);
                 self->finishOne();
             });
         }
     }
 
-    void askDomain(const std::vector<Member> &members, std::size_t tries)
+    void queryDomain(const std::vector<Member> &members, std::size_t tries)
     {
-        if (tries >= std::min(members.size(), MostTriesForDomain))
+        if (tries >= std::min(members.size(), MaxTriesPerDomain))
             return;
-        ++m_open;
+        ++m_pending;
         m_fetch(members[tries].records,
                 [self = shared_from_this(), members, tries](std::optional<DomainStatus> status) {
                     if (status)
                         self->m_results.push_back(std::move(*status));
                     else
-                        self->askDomain(members, tries + 1);
+                        self->queryDomain(members, tries + 1);
                     self->finishOne();
                 });
     }
 
-    void learn(DaemonId daemon, Revision revision)
+    void updateRevision(DaemonId daemon, Revision revision)
     {
         for (MemberUpdate &member : m_results.front().members) {
             if (member.daemon == daemon)
@@ -78,7 +78,7 @@
 
     void finishOne()
     {
-        if (--m_open > 0)
+        if (--m_pending > 0)
             return;
         std::sort(m_results.begin(), m_results.end(),
                   [](const auto &a, const auto &b) { return a.domain < b.domain; });
@@ -88,15 +88,16 @@
     StatusFetch m_fetch;
     std::function<void(std::vector<DomainStatus>)> m_done;
     std::vector<DomainStatus> m_results; // own first until the end
-    std::size_t m_open = 0;
+    std::size_t m_pending = 0;
 };
 
 } // namespace
 
-void collectDomainStatus(DomainStatus own, const View &view, StatusFetch fetch,
+void collectDomainStatus(DomainStatus local, const View &view, StatusFetch fetch,
                          std::function<void(std::vector<DomainStatus>)> done)
 {
-    std::make_shared<Collection>(std::move(own), std::move(fetch), std::move(done))->run(view);
+    std::make_shared<StatusCollection>(std::move(local), std::move(fetch), std::move(done))
+        ->run(view);
 }
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/admin/domain_status.h
+++ b/src/daemon/admin/domain_status.h
@@ -18,9 +18,9 @@
 /// One daemon of each other domain is asked, up to three in a row. In its own domain it asks those
 /// members whose revision is older than the newest known here: news of a revision spreads with
 /// pings, and a member may have it well before its news has come.
-/// \param own This daemon's own status.
+/// \param local This daemon's own status.
 /// \param done Called once; a domain none of whose daemons answered is left out.
-void collectDomainStatus(DomainStatus own, const View &view, StatusFetch fetch,
+void collectDomainStatus(DomainStatus local, const View &view, StatusFetch fetch,
                          std::function<void(std::vector<DomainStatus>)> done);
 
 } // namespace baobabtrail::daemon
--- a/tests/daemon/domain_status_test.cpp
+++ b/tests/daemon/domain_status_test.cpp
@@ -42,13 +42,13 @@
 struct Fleet
 {
     std::map<Endpoint, DomainStatus> answers;
-    std::vector<Endpoint> asked;
+    std::vector<Endpoint> queried;
 
     [[nodiscard]] StatusFetch fetch()
     {
         return
             [this](const Endpoint &records, std::function<void(std::optional<DomainStatus>)> done) {
-                asked.push_back(records);
+                queried.push_back(records);
                 const auto found = answers.find(records);
                 done(found == answers.end() ? std::nullopt : std::optional{found->second});
             };
@@ -66,23 +66,24 @@
 // "wait" asks whether revision 7 is in force everywhere. News of it reaches this daemon with pings,
 // some seconds later than the members have it.
 // A member that is not known to have it is asked itself, one that has it is not.
-Test(domainStatus, membersOfTheOwnDomainThatLagAreAsked)
+Test(domainStatus, localMembersThatLagAreQueried)
 {
     Fleet fleet;
     fleet.answers[recordsOf(2)] = statusOf("raml", 7);
     std::vector<DomainStatus> result;
-    const auto own = statusOf("raml", 7, {member(1, 7), member(2, 5), member(3, 7), member(4, 6)});
-    collectDomainStatus(own, viewOf({}), fleet.fetch(), [&](auto all) { result = all; });
+    const auto local
+        = statusOf("raml", 7, {member(1, 7), member(2, 5), member(3, 7), member(4, 6)});
+    collectDomainStatus(local, viewOf({}), fleet.fetch(), [&](auto all) { result = all; });
     cr_assert_eq(result.size(), 1);
     const auto &members = result[0].members;
     cr_assert(members[1].revision == Revision{7});
     cr_assert(members[3].revision == Revision{6}, "one that does not answer is as last heard");
-    cr_assert((fleet.asked == std::vector<Endpoint>{recordsOf(2), recordsOf(4)}));
+    cr_assert((fleet.queried == std::vector<Endpoint>{recordsOf(2), recordsOf(4)}));
 }
 
 // The first daemons asked of another domain are dead, a third domain is cut off.
 // Up to three are asked in each; a domain without an answer is left out, not made up.
-Test(domainStatus, otherDomainsAreAskedUntilOneAnswers)
+Test(domainStatus, otherDomainsAreQueriedUntilOneAnswers)
 {
     Fleet fleet;
     fleet.answers[recordsOf(13)] = statusOf("agami", 7);
@@ -94,5 +95,5 @@
     cr_assert_eq(result.size(), 2);
     cr_assert_str_eq(result[0].domain.c_str(), "agami");
     cr_assert_str_eq(result[1].domain.c_str(), "raml");
-    cr_assert_eq(fleet.asked.size(), 6);
+    cr_assert_eq(fleet.queried.size(), 6);
 }
