--- a/src/daemon/records/records_server.cpp
+++ b/src/daemon/records/records_server.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A request is a few dozen bytes; a stranger's long message is not read into memory.
-constexpr std::size_t MostRequestBytes = 64 << 10;
+constexpr std::size_t MaxRequestBytes = 64 << 10;
 /// For reading a request and writing its answer; the client's own timeout ends most of them sooner.
 constexpr Duration ConnectionTimeout = 30s;
 
@@ -15,7 +15,7 @@
 {
     AdministrationSettings settings;
     settings.timeout = ConnectionTimeout;
-    settings.maxBodyBytes = MostRequestBytes;
+    settings.maxBodyBytes = MaxRequestBytes;
     settings.maxConnections = connections;
     return settings;
 }
--- a/src/daemon/settings/object_reader.cpp
+++ b/src/daemon/settings/object_reader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t MostEditsOfSuggestion = 2;
+constexpr std::size_t MaxSuggestionEdits = 2;
 
 /// \return Insertions, removals and replacements that turn one text into the other.
 [[nodiscard]] std::size_t editDistance(std::string_view from, std::string_view to)
@@ -33,12 +33,12 @@
 [[nodiscard]] std::string nearestOf(const std::vector<std::string> &known, std::string_view key)
 {
     std::string nearest;
-    std::size_t least = MostEditsOfSuggestion + 1;
+    std::size_t min = MaxSuggestionEdits + 1;
     for (const std::string &candidate : known) {
         const std::size_t edits = editDistance(key, candidate);
-        if (edits >= least)
+        if (edits >= min)
             continue;
-        least = edits;
+        min = edits;
         nearest = candidate;
     }
     return nearest;
@@ -68,7 +68,7 @@
     if (!found)
         return;
     if (!found->is_string() || found->get_string().empty()) {
-        note(key, "expected a text that is not empty");
+        addFinding(key, "expected a text that is not empty");
         return;
     }
     out = std::string{std::string_view{found->get_string()}};
@@ -82,13 +82,13 @@
     const auto parsed
         = found->is_string() ? parseEndpoint(std::string_view{found->get_string()}) : std::nullopt;
     if (!parsed) {
-        note(key, "expected an IPv4 address with a port, as \"10.0.1.1:7000\"");
+        addFinding(key, "expected an IPv4 address with a port, as \"10.0.1.1:7000\"");
         return;
     }
     out = *parsed;
 }
 
-void ObjectReader::duration(std::string_view key, Duration &out, Duration least, Duration most)
+void ObjectReader::duration(std::string_view key, Duration &out, Duration min, Duration max)
 {
     const boost::json::value *found = find(key, Presence::Optional);
     if (!found)
@@ -96,52 +96,52 @@
     const auto parsed
         = found->is_string() ? parseDuration(std::string_view{found->get_string()}) : std::nullopt;
     if (!parsed) {
-        note(key, "expected a time with its unit, as \"300ms\", \"2s\" or \"10min\"");
+        addFinding(key, "expected a time with its unit, as \"300ms\", \"2s\" or \"10min\"");
         return;
     }
-    if (*parsed < least || *parsed > most) {
-        note(key, "must lie between " + toString(least) + " and " + toString(most));
+    if (*parsed < min || *parsed > max) {
+        addFinding(key, "must lie between " + toString(min) + " and " + toString(max));
         return;
     }
     out = *parsed;
 }
 
-void ObjectReader::real(std::string_view key, double &out, double least, double most)
+void ObjectReader::real(std::string_view key, double &out, double min, double max)
 {
     const boost::json::value *found = find(key, Presence::Optional);
     if (!found)
         return;
     boost::system::error_code error;
     const auto value = found->to_number<double>(error);
-    if (error || value < least || value > most) {
+    if (error || value < min || value > max) {
         std::ostringstream text;
-        text << "expected a number between " << least << " and " << most;
-        note(key, text.str());
+        text << "expected a number between " << min << " and " << max;
+        addFinding(key, text.str());
         return;
     }
     out = value;
 }
 
-bool ObjectReader::readNumber(std::string_view key, std::uint64_t &out, std::uint64_t least,
-                              std::uint64_t most, Presence presence)
+bool ObjectReader::readNumber(std::string_view key, std::uint64_t &out, std::uint64_t min,
+                              std::uint64_t max, Presence presence)
 {
     const boost::json::value *found = find(key, presence);
     if (!found)
         return false;
     const auto value = wholeNumber(*found);
     if (!value) {
-        note(key, "expected a whole number that is not negative");
+        addFinding(key, "expected a whole number that is not negative");
         return false;
     }
-    if (*value < least || *value > most) {
-        note(key, "must lie between " + std::to_string(least) + " and " + std::to_string(most));
+    if (*value < min || *value > max) {
+        addFinding(key, "must lie between " + std::to_string(min) + " and " + std::to_string(max));
         return false;
     }
     out = *value;
     return true;
 }
 
-void ObjectReader::note(std::string_view key, std::string text)
+void ObjectReader::addFinding(std::string_view key, std::string text)
 {
     m_findings.push_back({pathOf(key), std::move(text)});
 }
@@ -153,8 +153,8 @@
         if (std::find(m_known.begin(), m_known.end(), key) != m_known.end())
             continue;
         const std::string nearest = nearestOf(m_known, key);
-        note(key,
-             nearest.empty() ? "unknown key" : "unknown key; did you mean \"" + nearest + "\"?");
+        addFinding(key, nearest.empty() ? "unknown key"
+                                        : "unknown key; did you mean \"" + nearest + "\"?");
     }
 }
 
@@ -163,7 +163,7 @@
     m_known.emplace_back(key);
     const boost::json::value *found = m_object.if_contains(key);
     if (!found && presence == Presence::Required)
-        note(key, "is missing");
+        addFinding(key, "is missing");
     return found;
 }
 
--- a/src/daemon/settings/object_reader.h
+++ b/src/daemon/settings/object_reader.h
@@ -34,20 +34,20 @@
 
     void text(std::string_view key, std::string &out, Presence presence = Presence::Optional);
     void endpoint(std::string_view key, Endpoint &out, Presence presence = Presence::Optional);
-    void duration(std::string_view key, Duration &out, Duration least, Duration most);
+    void duration(std::string_view key, Duration &out, Duration min, Duration max);
 
     template <std::unsigned_integral Number>
-    void number(std::string_view key, Number &out, std::uint64_t least,
-                std::uint64_t most = std::numeric_limits<Number>::max(),
+    void number(std::string_view key, Number &out, std::uint64_t min,
+                std::uint64_t max = std::numeric_limits<Number>::max(),
                 Presence presence = Presence::Optional)
     {
         std::uint64_t value = out;
-        if (readNumber(key, value, least, most, presence))
+        if (readNumber(key, value, min, max, presence))
             out = static_cast<Number>(value);
     }
 
     /// \brief Reads a number that need not be whole.
-    void real(std::string_view key, double &out, double least, double most);
+    void real(std::string_view key, double &out, double min, double max);
 
     /// \brief Reads a list of texts, each by \a convert.
     /// \param convert Takes a text; returns an optional value, empty where the text is wrong.
@@ -60,7 +60,7 @@
         if (!found)
             return;
         if (!found->is_array()) {
-            note(key, "expected a list of " + std::string{expected});
+            addFinding(key, "expected a list of " + std::string{expected});
             return;
         }
         std::vector<Value> values;
@@ -69,8 +69,8 @@
             const auto value = entry.is_string() ? convert(std::string_view{entry.get_string()})
                                                  : decltype(convert(std::string_view{})){};
             if (!value) {
-                note(std::string{key} + '[' + std::to_string(index) + ']',
-                     "expected " + std::string{expected});
+                addFinding(std::string{key} + '[' + std::to_string(index) + ']',
+                           "expected " + std::string{expected});
                 continue;
             }
             values.push_back(*value);
@@ -86,7 +86,7 @@
         if (!found)
             return;
         if (!found->is_object()) {
-            note(key, "expected an object");
+            addFinding(key, "expected an object");
             return;
         }
         ObjectReader nested{found->get_object(), pathOf(key), m_findings};
@@ -95,15 +95,15 @@
     }
 
     /// \brief Notes a finding about \a key.
-    void note(std::string_view key, std::string text);
+    void addFinding(std::string_view key, std::string text);
     /// \brief Notes every key that no call asked for, with a known key that is spelled like it.
     void finish();
 
 private:
     [[nodiscard]] const boost::json::value *find(std::string_view key, Presence presence);
     [[nodiscard]] std::string pathOf(std::string_view key) const;
-    bool readNumber(std::string_view key, std::uint64_t &out, std::uint64_t least,
-                    std::uint64_t most, Presence presence);
+    bool readNumber(std::string_view key, std::uint64_t &out, std::uint64_t min, std::uint64_t max,
+                    Presence presence);
 
     const boost::json::object &m_object;
     std::string m_path;
--- a/src/daemon/settings/secret_file.cpp
+++ b/src/daemon/settings/secret_file.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t MostSecretBytes = 4096;
+constexpr std::size_t MaxSecretBytes = 4096;
 constexpr mode_t GroupAndOthers = S_IRWXG | S_IRWXO;
 
 /// \brief A file descriptor that is closed at the end of its scope.
@@ -59,11 +59,11 @@
     if ((status.st_mode & GroupAndOthers) != 0)
         return SecretError{"is open to group or others; set its mode to 0400 or 0600"};
 
-    std::array<char, MostSecretBytes + 1> bytes{};
+    std::array<char, MaxSecretBytes + 1> bytes{};
     const ssize_t size = ::read(file.descriptor(), bytes.data(), bytes.size());
     if (size < 0)
         return systemError("can't be read");
-    if (static_cast<std::size_t>(size) > MostSecretBytes)
+    if (static_cast<std::size_t>(size) > MaxSecretBytes)
         return SecretError{"is longer than 4096 bytes"};
 
     std::string secret{bytes.data(), static_cast<std::size_t>(size)};
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -51,12 +51,12 @@
 {
     auto result = readSecretFile(path);
     if (const auto *error = std::get_if<SecretError>(&result)) {
-        reader.note(key, path + ' ' + error->text);
+        reader.addFinding(key, path + ' ' + error->text);
         return;
     }
     std::string &secret = std::get<std::string>(result);
     if (secret.size() < minBytes) {
-        reader.note(key, path + " holds fewer than " + std::to_string(minBytes) + " bytes");
+        reader.addFinding(key, path + " holds fewer than " + std::to_string(minBytes) + " bytes");
         return;
     }
     out = std::move(secret);
@@ -69,9 +69,9 @@
     reader.endpoint("records", out.records, Presence::Required);
     reader.endpoint("administration", out.administration, Presence::Required);
     if (!out.data.isNull() && out.data == out.peer)
-        reader.note("peer", "must not be the same as addresses.data");
+        reader.addFinding("peer", "must not be the same as addresses.data");
     if (!out.records.isNull() && out.records == out.administration)
-        reader.note("administration", "must not be the same as addresses.records");
+        reader.addFinding("administration", "must not be the same as addresses.records");
 }
 
 void readPlatform(ObjectReader &reader, PlatformClientSettings &out)
@@ -135,7 +135,7 @@
     if (level != levels.end())
         out.level = level->severity;
     else if (!name.empty())
-        reader.note("level", "expected debug, info, warning or error");
+        reader.addFinding("level", "expected debug, info, warning or error");
     reader.number("linesPerSecond", out.linesPerSecond, 1, 10000);
 }
 
@@ -146,7 +146,7 @@
     reader.number("maxFailures", out.maxFailures, 0, 1000);
     reader.duration("window", out.window, 100ms, 1h);
     if (out.maxDelay < out.firstDelay)
-        reader.note("maxDelay", "must not be shorter than restarts.firstDelay");
+        reader.addFinding("maxDelay", "must not be shorter than restarts.firstDelay");
 }
 
 void readTraffic(ObjectReader &reader, TrafficSettings &out)
@@ -176,7 +176,7 @@
     reader.duration("addressQuarantine", out.addressQuarantine, 0s, 24h);
     reader.number("snapshotEvery", out.snapshotEvery, 1, 1 << 20);
     if (out.pingTimeout >= out.pingPeriod)
-        reader.note("pingTimeout", "must be shorter than control.pingPeriod");
+        reader.addFinding("pingTimeout", "must be shorter than control.pingPeriod");
 }
 
 void readFeed(ObjectReader &reader, StoreFeedSettings &out)
@@ -187,7 +187,7 @@
     reader.duration("mostRetry", out.maxRetry, 1ms, 1min);
     reader.duration("returnGrace", out.returnGrace, 0s, 1min);
     if (out.maxRetry < out.firstRetry)
-        reader.note("mostRetry", "must not be shorter than directory.firstRetry");
+        reader.addFinding("mostRetry", "must not be shorter than directory.firstRetry");
 }
 
 void readPeers(ObjectReader &reader, DirectNodeSettings &out)
@@ -228,7 +228,7 @@
     reader.number("mostHeldOfTarget", out.maxHeldPerTarget, 0, 1 << 20);
     reader.number("mostHeldBytes", out.maxHeldBytes, 0, 1 << 30);
     if (out.maxWindow < out.minWindow)
-        reader.note("mostWindow", "must not be less than overload.leastWindow");
+        reader.addFinding("mostWindow", "must not be less than overload.leastWindow");
 }
 
 void readExperiments(ObjectReader &reader, DirectSettings &out)
@@ -250,7 +250,7 @@
     reader.endpoint("peers", out.peers);
     reader.endpoint("peersReachedAt", out.peersReachedAt);
     if (!out.readiness.isNull() && out.readiness == out.metrics)
-        reader.note("metrics", "must not be the same as addresses.readiness");
+        reader.addFinding("metrics", "must not be the same as addresses.readiness");
 }
 
 void readDirectRoot(ObjectReader &reader, DirectDaemonSettings &out)
@@ -357,7 +357,7 @@
 }
 
 template <typename Result>
-[[nodiscard]] AnySettings widened(std::variant<Result, Findings> result)
+[[nodiscard]] AnySettings toAnySettings(std::variant<Result, Findings> result)
 {
     if (auto *findings = std::get_if<Findings>(&result))
         return std::move(*findings);
@@ -395,9 +395,9 @@
     const auto &root = std::get<boost::json::object>(parsed);
     const boost::json::value *forwarding = root.if_contains("forwarding");
     if (!forwarding || *forwarding == "tokens")
-        return widened(readObject<Settings>(root, readRoot));
+        return toAnySettings(readObject<Settings>(root, readRoot));
     if (*forwarding == "direct")
-        return widened(readObject<DirectDaemonSettings>(root, readDirectRoot));
+        return toAnySettings(readObject<DirectDaemonSettings>(root, readDirectRoot));
     return Findings{{"forwarding", "expected tokens or direct"}};
 }
 
