--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -353,7 +353,7 @@
 void DirectDaemon::watchSettings()
 {
     m_settingsTimer.start(SettingsPeriod, [this] {
-        if (const auto settings = m_file.changed())
+        if (const auto settings = m_file.readIfChanged())
             reload(*settings, "the file has changed");
         watchSettings();
     });
--- a/src/daemon/settings/settings_file.cpp
+++ b/src/daemon/settings/settings_file.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-std::optional<AnySettings> SettingsFile::changed()
+std::optional<AnySettings> SettingsFile::readIfChanged()
 {
     auto text = contentOf(m_path);
     if (text == m_text)
--- a/src/daemon/settings/settings_file.h
+++ b/src/daemon/settings/settings_file.h
@@ -26,7 +26,7 @@
     [[nodiscard]] AnySettings read();
     /// \return What the file says, where its text is another one than at the last look; nothing
     /// where it is the same. So findings are told once, not at each look.
-    [[nodiscard]] std::optional<AnySettings> changed();
+    [[nodiscard]] std::optional<AnySettings> readIfChanged();
 
 private:
     std::filesystem::path m_path;
