--- a/src/daemon/daemon_supervisors.cpp
+++ b/src/daemon/daemon_supervisors.cpp
@@ -30,12 +30,13 @@
         m_http = std::make_unique<HttpServer>(m_context, m_settings.addresses.administration,
                                               m_settings.administration, handle, failed);
     };
-    m_administration.add(ownerOf("http", m_http, startHttp));
+    m_administration.add(ownedChild("http", m_http, startHttp));
 
     m_root.add(m_network.asChild());
     m_root.add(m_core.asChild());
     m_root.add(m_administration.asChild());
-    m_root.add(ownerOf("signals", m_signals, [this](const FailureHandler &) { startSignals(); }));
+    m_root.add(
+        ownedChild("signals", m_signals, [this](const FailureHandler &) { startSignals(); }));
 }
 
 void Daemon::addNetwork()
@@ -43,21 +44,21 @@
     Counters &counters = m_metrics.counters();
     const ListenAddresses &listen = m_settings.addresses;
 
-    m_network.add(ownerOf("data socket", m_dataSocket, [&, this](const FailureHandler &failed) {
+    m_network.add(ownedChild("data socket", m_dataSocket, [&, this](const FailureHandler &failed) {
         const auto receive = [this](const Endpoint &from, std::string_view bytes) {
             m_dispatcher.fromFabric(from, bytes);
         };
         m_dataSocket = std::make_unique<UdpSocket>(m_context, listen.data, m_settings.sockets,
                                                    counters.data, receive, failed);
     }));
-    m_network.add(ownerOf("peer socket", m_peerSocket, [&, this](const FailureHandler &failed) {
+    m_network.add(ownedChild("peer socket", m_peerSocket, [&, this](const FailureHandler &failed) {
         const auto receive = [this](const Endpoint &from, std::string_view bytes) {
             m_dispatcher.fromPeer(from, bytes);
         };
         m_peerSocket = std::make_unique<UdpSocket>(m_context, listen.peer, m_settings.sockets,
                                                    counters.peer, receive, failed);
     }));
-    m_network.add(ownerOf("links", m_links, [&, this](const FailureHandler &) {
+    m_network.add(ownedChild("links", m_links, [&, this](const FailureHandler &) {
         m_links = std::make_unique<Links>(m_context, m_settings.links, counters,
                                           [this](TrafficEvent event) {
                                               if (m_traffic)
@@ -65,7 +66,7 @@
                                           });
     }));
     m_network.add(
-        ownerOf("records server", m_recordsServer, [&, this](const FailureHandler &failed) {
+        ownedChild("records server", m_recordsServer, [&, this](const FailureHandler &failed) {
             const auto serve = [&, this](std::string_view request) {
                 auto reply = m_control ? m_control->serve(request) : std::nullopt;
                 ++(reply ? counters.recordsServed : counters.recordsRefused);
@@ -74,10 +75,10 @@
             m_recordsServer = std::make_unique<RecordsServer>(
                 m_context, listen.records, m_settings.records.connections, serve, failed);
         }));
-    m_network.add(ownerOf("records client", m_recordsClient, [this](const FailureHandler &) {
+    m_network.add(ownedChild("records client", m_recordsClient, [this](const FailureHandler &) {
         m_recordsClient = std::make_unique<RecordsClient>(m_context, m_settings.records.timeout);
     }));
-    m_network.add(ownerOf("platform", m_platform, [this](const FailureHandler &) {
+    m_network.add(ownedChild("platform", m_platform, [this](const FailureHandler &) {
         m_platform = std::make_unique<PlatformClient>(m_context, m_settings.platform);
     }));
 }
--- a/src/daemon/direct/direct_daemon.cpp
+++ b/src/daemon/direct/direct_daemon.cpp
@@ -83,27 +83,28 @@
     addNetwork();
     addHttp();
     m_root.add(m_network.asChild());
-    m_root.add(ownerOf("node", m_node, [this](const FailureHandler &) { startNode(); }));
+    m_root.add(ownedChild("node", m_node, [this](const FailureHandler &) { startNode(); }));
     m_root.add(m_http.asChild());
     m_root.add({"clocks", [this](const FailureHandler &) { watchClocks(); },
                 [this] { m_clockTimer.cancel(); }});
     m_root.add({"settings", [this](const FailureHandler &) { watchSettings(); },
                 [this] { m_settingsTimer.cancel(); }});
-    m_root.add(ownerOf("signals", m_signals, [this](const FailureHandler &) { startSignals(); }));
+    m_root.add(
+        ownedChild("signals", m_signals, [this](const FailureHandler &) { startSignals(); }));
 }
 
 void DirectDaemon::addNetwork()
 {
-    m_network.add(ownerOf("packet socket", m_packets, [this](const FailureHandler &failed) {
+    m_network.add(ownedChild("packet socket", m_packets, [this](const FailureHandler &failed) {
         m_packets = std::make_unique<UdpSocket>(
             m_context, m_settings.addresses.packets, m_settings.sockets, m_metrics.packets,
             [this](const Endpoint &sender, std::string_view bytes) { handlePacket(sender, bytes); },
             failed);
     }));
-    m_network.add(ownerOf("store", m_store, [this](const FailureHandler &) {
+    m_network.add(ownedChild("store", m_store, [this](const FailureHandler &) {
         m_store = std::make_unique<PlatformClient>(m_context, m_settings.store);
     }));
-    m_network.add(ownerOf("peers", m_peers, [this](const FailureHandler &) {
+    m_network.add(ownedChild("peers", m_peers, [this](const FailureHandler &) {
         m_peers = std::make_unique<HttpClient>(m_context);
     }));
 }
@@ -120,11 +121,11 @@
                             const Endpoint &address, const HttpServer::Handle &handle) {
         if (address.isNull())
             return;
-        m_http.add(ownerOf(std::move(name), owner,
-                           [this, &owner, address, handle](const FailureHandler &failed) {
-                               owner = std::make_unique<HttpServer>(
-                                   m_context, address, m_settings.http, handle, failed);
-                           }));
+        m_http.add(ownedChild(std::move(name), owner,
+                              [this, &owner, address, handle](const FailureHandler &failed) {
+                                  owner = std::make_unique<HttpServer>(
+                                      m_context, address, m_settings.http, handle, failed);
+                              }));
     };
     const DirectAddresses &addresses = m_settings.addresses;
     add("readiness", m_readiness, addresses.readiness, at(&DirectDaemon::readiness));
--- a/src/daemon/supervisor/asio_runtime.h
+++ b/src/daemon/supervisor/asio_runtime.h
@@ -30,8 +30,8 @@
 
 /// \return A child that owns what \a start puts into \a owner.
 template <typename Part>
-[[nodiscard]] Child ownerOf(std::string name, std::unique_ptr<Part> &owner,
-                            std::function<void(FailureHandler)> start)
+[[nodiscard]] Child ownedChild(std::string name, std::unique_ptr<Part> &owner,
+                               std::function<void(FailureHandler)> start)
 {
     return {std::move(name), std::move(start), [&owner] { owner.reset(); }};
 }
