--- a/src/daemon/admin/http_server.h
+++ b/src/daemon/admin/http_server.h
@@ -1,4 +1,4 @@
-#pragma singleRequest
+#pragma once
 
 #include "core/endpoint.h"
 #include "daemon/settings/settings.h"
