--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -26,7 +26,7 @@
     return std::make_shared<KeyRing>(std::as_bytes(secret), Config{}.keyEpoch);
 }
 
-[[nodiscard]] RestartPolicy without(RestartPolicy policy, std::size_t maxFailures) noexcept
+[[nodiscard]] RestartPolicy withMaxFailures(RestartPolicy policy, std::size_t maxFailures) noexcept
 {
     policy.maxFailures = maxFailures;
     return policy;
@@ -53,9 +53,9 @@
     , m_stopTimer(m_context)
     , m_quiet(m_context)
     , m_network("network", m_settings.restarts, runtime())
-    , m_core("core", without(m_settings.restarts, NoFailures), runtime())
+    , m_core("core", withMaxFailures(m_settings.restarts, NoFailures), runtime())
     , m_administration("administration", m_settings.restarts, runtime())
-    , m_root("daemon", without(m_settings.restarts, NoFailures), runtime())
+    , m_root("daemon", withMaxFailures(m_settings.restarts, NoFailures), runtime())
 {
     buildSupervisors();
 }
