--- a/tests/daemon/http_server_test.cpp
+++ b/tests/daemon/http_server_test.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr std::size_t Kept = 2;
+constexpr std::size_t MaxConnections = 2;
 
 /// \brief A server that answers when it is told to, and clients with a connection each.
-struct AskedServer
+struct Fixture
 {
     boost::asio::io_context context{1};
     Endpoint address{0x7F000001U, freePorts(1).front()};
@@ -31,7 +31,7 @@
     std::vector<HttpResult> results;
     HttpServer server;
 
-    explicit AskedServer(bool closes = false)
+    explicit Fixture(bool closes = false)
         : server(
             context, address, settings(),
             [this, closes](const HttpRequest &, HttpServer::Respond respond) {
@@ -47,11 +47,11 @@
     [[nodiscard]] static AdministrationSettings settings()
     {
         AdministrationSettings settings;
-        settings.maxConnections = Kept;
+        settings.maxConnections = MaxConnections;
         return settings;
     }
 
-    void ask(std::size_t count)
+    void sendRequests(std::size_t count)
     {
         for (std::size_t index = 0; index < count; ++index) {
             clients.push_back(std::make_unique<HttpClient>(context));
@@ -95,15 +95,15 @@
 Test(httpServer, answersBeyondTheConnectionsThatAreKept)
 {
     constexpr std::size_t clients = 20;
-    AskedServer rig;
-    rig.ask(clients);
-    rig.run([&] { return rig.waiting.size() == clients; });
-    rig.reply();
-    rig.run([&] { return rig.results.size() == clients; });
-    cr_assert_eq(answered(rig.results), clients);
-    rig.run([&] { return rig.server.connections().open == Kept; });
-    cr_assert_eq(rig.server.connections().singleRequest, clients - Kept);
-    cr_assert_eq(rig.server.connections().peak, clients);
+    Fixture fixture;
+    fixture.sendRequests(clients);
+    fixture.run([&] { return fixture.waiting.size() == clients; });
+    fixture.reply();
+    fixture.run([&] { return fixture.results.size() == clients; });
+    cr_assert_eq(answered(fixture.results), clients);
+    fixture.run([&] { return fixture.server.connections().open == MaxConnections; });
+    cr_assert_eq(fixture.server.connections().singleRequest, clients - MaxConnections);
+    cr_assert_eq(fixture.server.connections().peak, clients);
 }
 
 // More clients come than the process has file descriptors for. The last ones are taken once others
@@ -115,26 +115,27 @@
     constexpr std::size_t clients = 20;
     const rlimit limit{descriptors, descriptors};
     cr_assert_eq(setrlimit(RLIMIT_NOFILE, &limit), 0);
-    AskedServer rig;
-    rig.ask(clients);
-    rig.run([&] { return rig.waiting.size() == share; });
-    cr_assert_eq(rig.server.connections().open, share);
-    cr_assert_geq(rig.server.connections().postponed, 1);
-    rig.run([&] {
-        rig.reply();
-        return rig.results.size() == clients;
+    Fixture fixture;
+    fixture.sendRequests(clients);
+    fixture.run([&] { return fixture.waiting.size() == share; });
+    cr_assert_eq(fixture.server.connections().open, share);
+    cr_assert_geq(fixture.server.connections().postponed, 1);
+    fixture.run([&] {
+        fixture.reply();
+        return fixture.results.size() == clients;
     });
-    cr_assert_eq(answered(rig.results), clients);
-    cr_assert_eq(rig.server.connections().peak, share);
+    cr_assert_eq(answered(fixture.results), clients);
+    cr_assert_eq(fixture.server.connections().peak, share);
 }
 
 // A client that is sent elsewhere does not come again: its connection would take up a place.
-Test(httpServer, endsTheConnectionOfOneThatIsSentOn)
+Test(httpServer, endsTheConnectionOfARedirectedClient)
 {
-    AskedServer rig{true};
-    rig.ask(1);
-    rig.run([&] { return rig.waiting.size() == 1; });
-    rig.reply();
-    rig.run([&] { return rig.results.size() == 1 && rig.server.connections().open == 0; });
-    cr_assert_eq(answered(rig.results), 1);
+    Fixture fixture{true};
+    fixture.sendRequests(1);
+    fixture.run([&] { return fixture.waiting.size() == 1; });
+    fixture.reply();
+    fixture.run(
+        [&] { return fixture.results.size() == 1 && fixture.server.connections().open == 0; });
+    cr_assert_eq(answered(fixture.results), 1);
 }
