--- a/tests/daemon/process_test.cpp
+++ b/tests/daemon/process_test.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds StartTimeout{20};
 
 /// \brief A settings file with a secret and free ports, in a directory of its own.
-class World
+class Fixture
 {
 public:
-    explicit World(const std::string &more = {})
+    explicit Fixture(const std::string &more = {})
     {
         std::string pattern = std::filesystem::temp_directory_path() / "daemon-XXXXXX";
         m_path = ::mkdtemp(pattern.data());
@@ -44,9 +44,9 @@
                               << R"(", "administration": {"operatorKeyHashes": [")"
                               << baobabtrail::accessKeyHash("key") << "\"]}" << more << "}";
     }
-    ~World() { std::filesystem::remove_all(m_path); }
-    World(const World &) = delete;
-    World &operator=(const World &) = delete;
+    ~Fixture() { std::filesystem::remove_all(m_path); }
+    Fixture(const Fixture &) = delete;
+    Fixture &operator=(const Fixture &) = delete;
 
     [[nodiscard]] std::filesystem::path file() const { return m_path / "settings.json"; }
     [[nodiscard]] std::vector<std::string> arguments() const
@@ -75,7 +75,7 @@
 };
 
 /// \return The whole reply, or nothing where the daemon does not answer.
-[[nodiscard]] std::string ask(std::uint16_t port, const std::string &request)
+[[nodiscard]] std::string exchange(std::uint16_t port, const std::string &request)
 {
     boost::asio::io_context context;
     tcp::socket socket{context};
@@ -91,20 +91,20 @@
 
 [[nodiscard]] std::string get(std::uint16_t port, const std::string &path)
 {
-    return ask(port, "GET " + path + " HTTP/1.0\r\n\r\n");
+    return exchange(port, "GET " + path + " HTTP/1.0\r\n\r\n");
 }
 
 [[nodiscard]] std::string execute(std::uint16_t port, const std::string &key)
 {
     const std::string body = R"({"text": "show revision"})";
-    return ask(port, "POST /v1/execute HTTP/1.0\r\nAuthorization: Bearer " + key
-                         + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
-                         + body);
+    return exchange(port, "POST /v1/execute HTTP/1.0\r\nAuthorization: Bearer " + key
+                              + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
+                              + body);
 }
 
 void waitUntilHealthy(std::uint16_t port)
 {
-    const auto end = Clock::now() + Patience;
+    const auto end = Clock::now() + StartTimeout;
     while (get(port, "/healthz").find("200 OK") == std::string::npos)
         cr_assert(Clock::now() < end, "the daemon does not answer");
 }
@@ -113,16 +113,16 @@
 
 Test(process, servesItsAdministrationApiAndStopsOnSigterm, .timeout = 60)
 {
-    const World world{R"(, "stopLinger": "50ms")"};
-    baobabtrail::test::Process daemon{"baobabtraild", world.arguments(),
+    const Fixture fixture{R"(, "stopLinger": "50ms")"};
+    baobabtrail::test::Process daemon{"baobabtraild", fixture.arguments(),
                                       baobabtrail::test::Process::Output::Inherited};
-    waitUntilHealthy(world.administration);
-    const std::string metrics = get(world.administration, "/metrics");
+    waitUntilHealthy(fixture.administration);
+    const std::string metrics = get(fixture.administration, "/metrics");
     cr_assert(metrics.find("\nbaobabtrail_config_revision 0\n") != std::string::npos);
-    cr_assert(execute(world.administration, "key").find("200 OK") != std::string::npos);
-    cr_assert(execute(world.administration, "wrong").find("401") != std::string::npos);
-    cr_assert(execute(world.administration, "").find("401") != std::string::npos);
-    cr_assert(get(world.administration, "/elsewhere").find("404") != std::string::npos);
+    cr_assert(execute(fixture.administration, "key").find("200 OK") != std::string::npos);
+    cr_assert(execute(fixture.administration, "wrong").find("401") != std::string::npos);
+    cr_assert(execute(fixture.administration, "").find("401") != std::string::npos);
+    cr_assert(get(fixture.administration, "/elsewhere").find("404") != std::string::npos);
     daemon.send(SIGTERM);
     cr_assert_eq(daemon.waitForEnd(), 0);
 }
@@ -133,19 +133,19 @@
 // It stays until the fabric has been quiet for a while, and then ends with status 0.
 Test(process, stopWaitsUntilTheFabricIsQuiet, .timeout = 60)
 {
-    const World world{R"(, "stopLinger": "1s")"};
-    baobabtrail::test::Process daemon{"baobabtraild", world.arguments(),
+    const Fixture fixture{R"(, "stopLinger": "1s")"};
+    baobabtrail::test::Process daemon{"baobabtraild", fixture.arguments(),
                                       baobabtrail::test::Process::Output::Inherited};
-    waitUntilHealthy(world.administration);
+    waitUntilHealthy(fixture.administration);
     daemon.send(SIGTERM);
 
     boost::asio::io_context context;
     udp::socket fabric{context, udp::v4()};
-    const udp::endpoint data{boost::asio::ip::address_v4::loopback(), world.data};
+    const udp::endpoint data{boost::asio::ip::address_v4::loopback(), fixture.data};
     const auto end = Clock::now() + std::chrono::seconds{3};
     while (Clock::now() < end) {
         fabric.send_to(boost::asio::buffer("a datagram"), data);
-        cr_assert(get(world.administration, "/healthz").find("200 OK") != std::string::npos);
+        cr_assert(get(fixture.administration, "/healthz").find("200 OK") != std::string::npos);
     }
     cr_assert_eq(daemon.waitForEnd(), 0);
 }
@@ -154,15 +154,15 @@
 // The process ends with a status that tells the two apart: only the second is worth a new start.
 Test(process, endsWithAStatusThatSaysWhy, .timeout = 60)
 {
-    const World wrong{R"(, "stopTimout": "1s")"};
+    const Fixture wrong{R"(, "stopTimout": "1s")"};
     baobabtrail::test::Process refused{"baobabtraild", wrong.arguments(),
                                        baobabtrail::test::Process::Output::Inherited};
     cr_assert_eq(refused.waitForEnd(), 2);
 
-    const World world{R"(, "restarts": {"firstDelay": "1ms", "maxFailures": 2})"};
+    const Fixture fixture{R"(, "restarts": {"firstDelay": "1ms", "maxFailures": 2})"};
     boost::asio::io_context context;
-    const udp::socket taken{context, {boost::asio::ip::address_v4::loopback(), world.data}};
-    baobabtrail::test::Process failing{"baobabtraild", world.arguments(),
+    const udp::socket taken{context, {boost::asio::ip::address_v4::loopback(), fixture.data}};
+    baobabtrail::test::Process failing{"baobabtraild", fixture.arguments(),
                                        baobabtrail::test::Process::Output::Inherited};
     cr_assert_eq(failing.waitForEnd(), 70);
 }
