--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -75,27 +75,27 @@
 {
     for (const bool throws : {false, true}) {
         VirtualClock clock;
-        FakeChild weak;
-        FakeChild well;
-        weak.throws = throws;
+        FakeChild failing;
+        FakeChild healthy;
+        failing.throws = throws;
         Supervisor root{"root", Policy, clock.runtime()};
-        root.add(weak.asChild("weak"));
-        root.add(well.asChild("well"));
+        root.add(failing.asChild("weak"));
+        root.add(healthy.asChild("well"));
         std::string gaveUp;
         root.start([&](const std::string &why) { gaveUp = why; });
 
         for (int failure = 1; failure <= 3; ++failure) {
             if (!throws)
-                weak.failed("broken");
-            cr_assert_eq(weak.starts, failure);
+                failing.failed("broken");
+            cr_assert_eq(failing.starts, failure);
             clock.advance(Duration::zero());
-            cr_assert_eq(weak.stops, failure);
-            weak.throws = throws && failure < 3;
+            cr_assert_eq(failing.stops, failure);
+            failing.throws = throws && failure < 3;
             clock.advance(clock.delays.back());
-            cr_assert_eq(weak.starts, failure + 1);
+            cr_assert_eq(failing.starts, failure + 1);
         }
         cr_assert((clock.delays == std::vector<Duration>{100ms, 200ms, 400ms}));
-        cr_assert(well.starts == 1 && well.stops == 0);
+        cr_assert(healthy.starts == 1 && healthy.stops == 0);
         cr_assert(gaveUp.empty());
     }
 }
@@ -106,47 +106,47 @@
 Test(supervisor, childThatKeepsFailingTakesItsParentDown)
 {
     VirtualClock clock;
-    FakeChild weak;
-    FakeChild well;
+    FakeChild failing;
+    FakeChild healthy;
     Supervisor root{"root", Policy, clock.runtime()};
     Supervisor branch{"branch", Policy, clock.runtime()};
-    branch.add(well.asChild("well"));
-    branch.add(weak.asChild("weak"));
+    branch.add(healthy.asChild("well"));
+    branch.add(failing.asChild("weak"));
     root.add(branch.asChild());
     std::vector<std::string> gaveUp;
     root.start([&](const std::string &why) { gaveUp.push_back(why); });
 
     for (int failure = 0; failure < 4; ++failure) {
-        weak.failed("broken");
+        failing.failed("broken");
         clock.advance(600ms);
     }
-    cr_assert_eq(well.stops, 1);
-    cr_assert_eq(well.starts, 2, "the parent restarts the branch");
+    cr_assert_eq(healthy.stops, 1);
+    cr_assert_eq(healthy.starts, 2, "the parent restarts the branch");
     cr_assert(gaveUp.empty());
 
     for (int failure = 0; failure < 12; ++failure) {
-        weak.failed("broken");
+        failing.failed("broken");
         clock.advance(600ms);
     }
     cr_assert_eq(gaveUp.size(), 1);
     cr_assert_str_eq(gaveUp[0].c_str(), "branch: weak: broken");
-    cr_assert_eq(well.starts, well.stops);
+    cr_assert_eq(healthy.starts, healthy.stops);
 }
 
 Test(supervisor, failuresOutsideTheWindowAreForgotten)
 {
     VirtualClock clock;
-    FakeChild weak;
+    FakeChild failing;
     Supervisor root{"root", Policy, clock.runtime()};
-    root.add(weak.asChild("weak"));
+    root.add(failing.asChild("weak"));
     bool gaveUp = false;
     root.start([&](const std::string &) { gaveUp = true; });
     for (int failure = 0; failure < 20; ++failure) {
-        weak.failed("broken");
+        failing.failed("broken");
         clock.advance(4s);
     }
     cr_assert(!gaveUp);
-    cr_assert_eq(weak.starts, 21);
+    cr_assert_eq(failing.starts, 21);
 }
 
 // A handler of the stopped run reports its failure late, after the child was started anew.
@@ -154,23 +154,23 @@
 Test(supervisor, lateReportOfAnEarlierRunIsIgnored)
 {
     VirtualClock clock;
-    FakeChild weak;
+    FakeChild failing;
     Supervisor root{"root", Policy, clock.runtime()};
-    root.add(weak.asChild("weak"));
+    root.add(failing.asChild("weak"));
     root.start([](const std::string &) {});
-    const FailureHandler first = weak.failed;
+    const FailureHandler first = failing.failed;
     first("broken");
     first("broken, said twice");
     clock.advance(1s);
-    cr_assert_eq(weak.starts, 2);
+    cr_assert_eq(failing.starts, 2);
     first("broken, said late");
     clock.advance(1s);
-    cr_assert_eq(weak.starts, 2);
+    cr_assert_eq(failing.starts, 2);
 
-    weak.failed("broken just before the daemon stops");
+    failing.failed("broken just before the daemon stops");
     clock.advance(Duration::zero());
     root.stop();
     clock.advance(1min);
-    cr_assert_eq(weak.starts, 2);
-    cr_assert_eq(weak.stops, 2);
+    cr_assert_eq(failing.starts, 2);
+    cr_assert_eq(failing.stops, 2);
 }
