--- a/tests/daemon/records_test.cpp
+++ b/tests/daemon/records_test.cpp
@@ -6,9 +6,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-Test(records, manyAtOnceAreAnsweredEachToItsAsker)
+Test(records, concurrentRequestsGetTheirOwnAnswers)
 {
-    constexpr std::size_t Questions = 50;
+    constexpr std::size_t Requests = 50;
     boost::asio::io_context context;
     const Endpoint address = freeAddress();
     RecordsServer server{
@@ -18,15 +18,15 @@
     RecordsClient client{context, 5s};
     std::size_t answers = 0;
     std::size_t right = 0;
-    for (std::size_t number = 0; number < Questions; ++number) {
-        const std::string question = "question " + std::to_string(number);
-        client.fetch(address, question, [&, question](const std::optional<std::string> &answer) {
+    for (std::size_t number = 0; number < Requests; ++number) {
+        const std::string request = "question " + std::to_string(number);
+        client.fetch(address, request, [&, request](const std::optional<std::string> &answer) {
             ++answers;
-            right += answer == "answer to " + question ? 1 : 0;
+            right += answer == "answer to " + request ? 1 : 0;
         });
     }
-    runUntil(context, answers, Questions);
-    cr_assert_eq(right, Questions);
+    runUntil(context, answers, Requests);
+    cr_assert_eq(right, Requests);
 }
 
 namespace {
--- a/tests/records-known/records_close_test.cpp
+++ b/tests/records-known/records_close_test.cpp
@@ -9,7 +9,7 @@
 // The peer is dead, or does not answer what it was asked, or this daemon's client is restarted
 // with a question open. A control node that never got a result would never ask again.
 // Every fetch ends, with nothing; and a peer that is back is asked with success.
-Test(records, everyFetchEndsAlsoWithoutAnAnswer, .timeout = 30)
+Test(records, everyFetchEndsWithoutAnAnswer, .timeout = 30)
 {
     boost::asio::io_context context;
     const Endpoint address = freeAddress();
