--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -7,14 +7,14 @@
 
 namespace baobabtrail::daemon {
 
-/// \return The monotonic time that events to the core carry.
+/// \return The monotonic time at which events are passed to the core.
 [[nodiscard]] inline TimePoint monotonicNow() noexcept
 {
     const auto sinceBoot = std::chrono::steady_clock::now().time_since_epoch();
     return TimePoint{std::chrono::duration_cast<Duration>(sinceBoot)};
 }
 
-/// \return As monotonicNow(), but of a clock that goes on while the machine is suspended.
+/// \return As monotonicNow(), but from a clock that also advances while the machine is suspended.
 [[nodiscard]] inline TimePoint bootNow() noexcept
 {
     timespec time{};
@@ -25,7 +25,7 @@
     return TimePoint{std::chrono::duration_cast<Duration>(sinceBoot)};
 }
 
-/// \return The wall clock, in whole seconds.
+/// \return The wall-clock time, truncated to whole seconds.
 [[nodiscard]] inline std::chrono::sys_seconds wallNow() noexcept
 {
     return std::chrono::floor<std::chrono::seconds>(std::chrono::system_clock::now());
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A direct child of the root that gave up has tried long enough: the process ends.
+// A child of the root that fails has already used up its own restarts, so the process exits.
 constexpr std::size_t NoFailures = 0;
 
 [[nodiscard]] NodeIdentity identityOf(const Settings &settings, Incarnation incarnation)
@@ -105,7 +105,7 @@
 void Daemon::finish(ExitStatus status)
 {
     m_status = status;
-    // Later, since this may be called by a part that is about to be stopped.
+    // Posted, since the caller may be a component that this stops and destroys.
     boost::asio::post(m_context, [this] {
         m_root.stop();
         m_context.stop();
@@ -135,8 +135,9 @@
 
 void Daemon::callPlatform(const PlatformRequest &request, std::function<void(PlatformResult)> done)
 {
-    // The network's parts are stopped before those who ask them: between the two, a timer of the
-    // control core ended the process by a null pointer, in 1 of 320 daemons that gave up.
+    // The network's components are stopped before the cores that use them. A timer of the control
+    // core that fired in between crashed the process by a null pointer, in 1 of 320 daemons that
+    // gave up.
     if (!m_platform) {
         boost::asio::post(m_context, [done = std::move(done)] {
             done(PlatformFailure{"the client of the platform has stopped"});
@@ -163,8 +164,8 @@
                        [this, change = action.changeId](const ProposalOutcome &outcome) {
                            if (std::holds_alternative<ProposalAccepted>(outcome))
                                return;
-                           // The traffic node asks again with the same change id where it is still
-                           // needed.
+                           // The traffic node proposes the change again, with the same change id,
+                           // where it is still needed.
                            report({Severity::Warning,
                                    Part::Config,
                                    "a change of this daemon's was not accepted",
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -28,7 +28,7 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief The whole daemon: its parts, below a tree of supervisors, on one thread.
+/// \brief The whole daemon: its components under a supervision tree, all on one thread.
 ///
 ///     daemon
 ///     ├── network         data socket, peer socket, links, records server, records client,
@@ -39,16 +39,17 @@
 class Daemon
 {
 public:
-    /// \param incarnation Larger at each start of the same daemon.
+    /// \param incarnation Must increase with each start of the same daemon.
     Daemon(Settings settings, Incarnation incarnation);
     ~Daemon();
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /// \brief Runs until a signal has stopped the daemon or its root supervisor has given up.
+    /// \brief Runs until a signal stops the daemon or its root supervisor gives up.
+    /// \return The status that the process exits with.
     [[nodiscard]] ExitStatus run();
 
-    /// \brief Begins a graceful stop; a second call ends the daemon at once.
+    /// \brief Starts a graceful stop; a second call ends the daemon immediately.
     void stop();
 
 private:
--- a/src/daemon/daemon_callbacks.cpp
+++ b/src/daemon/daemon_callbacks.cpp
@@ -1,4 +1,4 @@
-// What the core's actions and the administration API reach of the daemon.
+// Callbacks that connect the cores and the administration API with the daemon's components.
 
 #include "daemon/admin/domain_status.h"
 #include "daemon/clock.h"
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// A socket that is being restarted sends nothing; to the core that is a loss in the network.
+// Datagrams are dropped while a socket restarts; the cores handle that like loss in the network.
 
 TrafficPorts Daemon::trafficPorts()
 {
--- a/src/daemon/daemon_supervisors.cpp
+++ b/src/daemon/daemon_supervisors.cpp
@@ -1,4 +1,4 @@
-// The tree of supervisors, and what each child is made of.
+// Builds the supervision tree and starts its children.
 
 #include "daemon/clock.h"
 #include "daemon/daemon.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// \return A seed that differs between daemons and between starts of one.
+/// \return A random seed that differs between daemons and between starts of the same daemon.
 [[nodiscard]] std::uint64_t seedOf(const NodeIdentity &identity) noexcept
 {
     return identity.daemon.value() * 0x9E3779B97F4A7C15ULL ^ identity.incarnation.value();
@@ -85,10 +85,11 @@
 
 void Daemon::addCore()
 {
-    // A core that threw may hold half of a change, and one that starts anew has forgotten which
-    // requests it sent to targets. Only a new process, with a new incarnation, makes its callers
-    // and peers see that; so neither is restarted alone.
-    // They stay in memory until the end, deaf, for those who still ask them something.
+    // Neither core is restarted on its own: one that threw may hold a half-applied change, and a
+    // restarted one has lost which requests it sent to targets. Callers and peers can detect that
+    // only by the new incarnation of a new process.
+    // The stopped cores stay allocated until the daemon is destroyed, since other components still
+    // query them; they ignore all further events.
     const auto keep = [] {};
     m_core.add(
         {"traffic core", [this](const FailureHandler &failed) { startTrafficCore(failed); }, keep});
--- a/src/daemon/datagram_dispatcher.cpp
+++ b/src/daemon/datagram_dispatcher.cpp
@@ -37,7 +37,8 @@
 
 void DatagramDispatcher::fromFabric(const Endpoint &from, std::string_view bytes)
 {
-    // Anyone else could put any caller's or target's address in front of a datagram.
+    // A PROXY header is trusted only from the fabric: any other sender could forge a caller's or
+    // a target's address in it.
     const bool trusted
         = std::find(m_fabric.begin(), m_fabric.end(), from.address) != m_fabric.end();
     const auto proxied = trusted ? wire::parseProxied(bytes) : std::nullopt;
--- a/src/daemon/datagram_dispatcher.h
+++ b/src/daemon/datagram_dispatcher.h
@@ -12,18 +12,20 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Turns datagrams of the two UDP sockets into events, and counts what it can't.
+/// \brief Decodes the datagrams of the two UDP sockets, dispatches them as events to the traffic
+/// and the control core, and counts those that it drops.
 class DatagramDispatcher
 {
 public:
-    /// \param fabric IPv4 addresses whose PROXY headers are believed.
+    /// \param fabric IPv4 addresses whose PROXY headers are trusted.
     DatagramDispatcher(std::vector<std::uint32_t> fabric, std::shared_ptr<const KeyRing> keys,
                        Counters &counters, std::function<void(TrafficEvent)> toTraffic,
                        std::function<void(ControlEvent)> toControl);
 
-    /// \brief A datagram of the data socket: of a caller or a target, through the fabric.
+    /// \brief Handles a datagram of the data socket: from a caller or a target, through the fabric.
     void fromFabric(const Endpoint &from, std::string_view bytes);
-    /// \brief A datagram of the peer socket: of a daemon, or of a target that answers an open.
+    /// \brief Handles a datagram of the peer socket: from a daemon, or from a target that answers
+    /// the opening of a flow.
     void fromPeer(const Endpoint &from, std::string_view bytes);
 
 private:
--- a/src/daemon/exit_status.h
+++ b/src/daemon/exit_status.h
@@ -2,11 +2,11 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief How the daemon's process ends.
+/// \brief Exit status of the daemon's process.
 enum class ExitStatus : int {
     Done = 0,
     BadSettings = 2,
-    Failed = 70, ///< A part kept failing; the VM's service manager starts the process anew.
+    Failed = 70, ///< A component kept failing; the VM's service manager restarts the process.
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char *Version = "0.1";
 
-/// \return A number that is larger at each start of the daemon on this VM.
+/// \return A number that increases with each start of the daemon on this VM.
 [[nodiscard]] Incarnation newIncarnation()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -32,7 +32,8 @@
     return ExitStatus::BadSettings;
 }
 
-/// \brief An experiment must not be left in force unnoticed.
+/// \brief Prints the mechanisms that an experiment turns off, so that it isn't left in force
+/// unnoticed.
 void reportExperiments(const DirectDaemonSettings &settings)
 {
     const Mechanisms &mechanisms = settings.node.flows.mechanisms;
@@ -40,7 +41,7 @@
         std::cout << "settings: experiments.without: " << toString(mechanisms) << '\n';
 }
 
-/// \brief Runs the kind of daemon that the settings are of.
+/// \brief Runs the kind of daemon that the settings are for.
 struct Runner
 {
     SettingsFile &file;
--- a/src/daemon/quiet_wait.h
+++ b/src/daemon/quiet_wait.h
@@ -10,19 +10,19 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Waits until a counter has stood still for a while: that nothing comes any more.
+/// \brief Waits for a quiet period: until no datagram has arrived for a given time.
 ///
-/// Whoever spreads datagrams over daemons hands them to one that stops until it has noticed. Each
-/// one lost would be a gap in someone's feed, and a few in a row look like a flow that has gone
-/// silent; so they are forwarded until none has come for a while.
+/// The upstream load balancer keeps sending datagrams to a stopping daemon until it notices the
+/// stop. Each lost datagram is a gap in a caller's feed, and a few in a row look like a flow that
+/// has gone silent; so the daemon forwards them until none has arrived for a while.
 class QuietWait
 {
 public:
-    /// \brief What shows that something comes.
+    /// \brief How to detect that datagrams still arrive.
     struct Traffic
     {
-        const std::uint64_t &counter; ///< Of what has come; must outlive the wait.
-        /// Whether something has come that isn't counted yet, as after the process stood still.
+        const std::uint64_t &counter; ///< Datagrams read so far; must outlive the wait.
+        /// Whether datagrams have arrived that aren't counted yet, as after a process stall.
         std::function<bool()> unread;
     };
 
@@ -31,7 +31,8 @@
     {
     }
 
-    /// \param done Called once.
+    /// \param quiet Length of the quiet period.
+    /// \param done Called once, when it has passed.
     void start(Duration quiet, Traffic traffic, std::function<void()> done)
     {
         const std::uint64_t seen = traffic.counter;
