--- a/src/daemon/net/asio_endpoint.h
+++ b/src/daemon/net/asio_endpoint.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail::daemon {
 
-/// \return The endpoint for a socket of \a Protocol, such as boost::asio::ip::tcp.
+/// \return The Asio endpoint for \a Protocol, such as boost::asio::ip::tcp.
 template <typename Protocol>
 [[nodiscard]] typename Protocol::endpoint toAsio(const Endpoint &endpoint)
 {
--- a/src/daemon/net/link.cpp
+++ b/src/daemon/net/link.cpp
@@ -83,8 +83,8 @@
         return;
     m_queued += wire::encodeLink(message);
 
-    // A target that has stopped reading would collect requests here until the daemon's memory is
-    // used up. Without its connection it gets no more.
+    // Bounds the memory that a target which has stopped reading can take up; requests would queue
+    // here until the daemon runs out of memory. Once the connection is closed it gets no more.
     if (m_queued.size() > m_settings.maxQueuedBytes) {
         boost::asio::post(m_socket.get_executor(),
                           [self = shared_from_this()] { self->fail("the target does not read"); });
--- a/src/daemon/net/link.h
+++ b/src/daemon/net/link.h
@@ -16,19 +16,19 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief What a connection to a target reports. None is called from within Link's own functions,
-/// and none after close().
+/// \brief Callbacks of a connection to a target. None is called from within Link's public
+/// functions, and none after close().
 struct LinkCallbacks
 {
     std::function<void()> opened;
     std::function<void(LinkMessage)> received;
-    std::function<void(const std::string &why)> closed; ///< The last call.
+    std::function<void(const std::string &why)> closed; ///< Always the last callback.
 };
 
 /// \brief A TCP connection to a target.
 ///
-/// Nothing is sent again: what was queued or sent when it breaks is lost to it, and the decision
-/// what that means for a request is the traffic node's.
+/// Nothing is retransmitted after the connection breaks: queued and sent messages are dropped, and
+/// the traffic node decides what that means for their requests.
 class Link : public std::enable_shared_from_this<Link>
 {
 public:
@@ -36,7 +36,7 @@
 
     void connect(const Endpoint &target);
     void send(const LinkMessage &message);
-    /// \brief Ends the connection; no handler is called any more.
+    /// \brief Closes the connection; no callback is called any more.
     void close();
 
 private:
@@ -54,8 +54,8 @@
     LinkCallbacks m_callbacks;
     wire::LinkReader m_reader;
     std::array<char, ReadBytes> m_input;
-    std::string m_queued;  ///< Waits for the write that is under way.
-    std::string m_writing; ///< Empty where no write is under way.
+    std::string m_queued;  ///< To be written after the write in progress.
+    std::string m_writing; ///< Empty where no write is in progress.
     bool m_connected = false;
     bool m_closed = false;
 };
--- a/src/daemon/net/links.h
+++ b/src/daemon/net/links.h
@@ -14,11 +14,11 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief The connections to targets that a traffic node asked for.
+/// \brief The connections to targets that a traffic node has opened.
 class Links
 {
 public:
-    /// Takes LinkOpened, LinkClosed and FromLink; never called from within a function of Links.
+    /// Receives LinkOpened, LinkClosed and FromLink; never called from within a function of Links.
     using Report = std::function<void(TrafficEvent)>;
 
     Links(boost::asio::io_context &context, const LinkSettings &settings, Counters &counters,
@@ -29,7 +29,8 @@
 
     void open(const OpenLink &action);
     void close(const CloseLink &action);
-    /// \brief Sends on a connection; does nothing where it is gone, its LinkClosed is on its way.
+    /// \brief Sends a message on a connection; does nothing where it has closed and its LinkClosed
+    /// hasn't reached the node yet.
     void send(const SendOnLink &action);
 
     [[nodiscard]] std::size_t size() const noexcept { return m_links.size(); }
--- a/src/daemon/net/udp_socket.cpp
+++ b/src/daemon/net/udp_socket.cpp
@@ -14,10 +14,12 @@
 
 namespace {
 
-// One byte more than the largest datagram with its header, to see that a longer one was cut.
+// One byte more than the largest datagram with its PROXY header, to detect that a longer one was
+// truncated.
 constexpr std::size_t MaxProxyHeaderBytes = 512;
 constexpr std::size_t SlotBytes = wire::MaxDatagramBytes + MaxProxyHeaderBytes + 1;
-// Batches that are read in a row; timers, peers and targets wait no longer than these take.
+// Batches that are read before other events are handled; bounds how long timers, peers and targets
+// wait.
 constexpr int MaxConsecutiveBatches = 4;
 
 [[nodiscard]] bool isTransient(int error) noexcept
@@ -27,8 +29,8 @@
 
 } // namespace
 
-/// \brief Memory of one receive call and one send call. Pages that no datagram reached stay
-/// untouched, so long slots cost little.
+/// \brief Buffers of one receive call and one send call. Pages that no datagram has reached are
+/// never touched, so large slots cost little memory.
 struct UdpSocket::Batch
 {
     explicit Batch(std::size_t size)
@@ -99,7 +101,7 @@
 
 bool UdpSocket::hasUnread() const
 {
-    boost::system::error_code ignored; // A socket that can't be asked has failed, and is told of.
+    boost::system::error_code ignored; // A failed socket is reported by waitForDatagrams().
     return m_socket.available(ignored) > 0;
 }
 
@@ -122,7 +124,7 @@
 
 void UdpSocket::readBatches()
 {
-    // What the handlers send leaves in one call behind each batch.
+    // Datagrams that the receive handlers send are flushed together after each batch.
     m_flushScheduled = true;
     for (int round = 0; round < MaxConsecutiveBatches; ++round) {
         const std::size_t count = readBatch();
@@ -172,7 +174,7 @@
             sent += count;
             continue;
         }
-        ++m_counters.sendDrops; // the first of the batch can't be sent; the rest may
+        ++m_counters.sendDrops; // The first of the batch can't be sent; the others may still be.
         ++sent;
     }
     m_outgoing.clear();
--- a/src/daemon/net/udp_socket.h
+++ b/src/daemon/net/udp_socket.h
@@ -16,16 +16,16 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief A UDP socket that reads and sends many datagrams with one system call.
+/// \brief A UDP socket that receives and sends datagrams in batches, with recvmmsg and sendmmsg.
 ///
-/// Datagrams that are sent from within a receive handler leave together, after the batch.
+/// Datagrams sent from within a receive handler are flushed together after the received batch.
 class UdpSocket
 {
 public:
     using Receive = std::function<void(const Endpoint &from, std::string_view bytes)>;
 
-    /// \param failed Called where the socket can't be read any more.
-    /// \throws std::runtime_error where the address can't be bound.
+    /// \param failed Called when the socket can't be read any more.
+    /// \throws std::runtime_error if the address can't be bound.
     UdpSocket(boost::asio::io_context &context, const Endpoint &local,
               const SocketSettings &settings, SocketCounters &counters, Receive receive,
               FailureHandler failed);
@@ -33,10 +33,11 @@
     UdpSocket(const UdpSocket &) = delete;
     UdpSocket &operator=(const UdpSocket &) = delete;
 
-    /// \brief Sends soon. A full kernel buffer drops the datagram, as the network might.
+    /// \brief Queues a datagram for sending. Drops it where the kernel's send buffer is full, as
+    /// the network might.
     void send(const Endpoint &to, std::string bytes);
 
-    /// \return Whether datagrams wait to be read.
+    /// \return Whether the kernel's receive buffer holds datagrams.
     [[nodiscard]] bool hasUnread() const;
 
 private:
--- a/src/daemon/nodes/control_runner.cpp
+++ b/src/daemon/nodes/control_runner.cpp
@@ -98,7 +98,8 @@
 
 void ControlRunner::perform()
 {
-    // Publishing may bring about an event of this node; its actions then go to a list of their own.
+    // Publishing may cause another event of this node, whose actions are then collected in a new
+    // list.
     ControlActions actions = std::exchange(m_actions, {});
     for (ControlAction &action : actions)
         std::visit([this](auto &wanted) { perform(wanted); }, action);
--- a/src/daemon/nodes/control_runner.h
+++ b/src/daemon/nodes/control_runner.h
@@ -16,8 +16,8 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief What a control node's actions are carried out by. Handlers that are passed on are to be
-/// called once, later.
+/// \brief Callbacks that carry out a control node's actions. Each completion handler passed to them
+/// must be called exactly once, and not from within the callback.
 struct ControlCallbacks
 {
     using Answer = std::function<void(std::optional<std::string>)>;
@@ -30,7 +30,8 @@
     std::function<void(const Notice &)> notice;
 };
 
-/// \brief Runs a ControlNode: gives it the time and its timer, and carries out its actions.
+/// \brief Drives a ControlNode: passes it events, the time and its timer, and carries out its
+/// actions.
 class ControlRunner
 {
 public:
@@ -39,27 +40,32 @@
     ControlRunner(boost::asio::io_context &context, const NodeIdentity &identity,
                   const ControlSettings &settings, std::shared_ptr<const KeyRing> keys,
                   std::uint64_t seed, ControlCallbacks callbacks, FailureHandler failed);
-    /// \brief Ends what is proposed with an unknown outcome.
+    /// \brief Completes all pending proposals with an unknown outcome.
     ~ControlRunner();
     ControlRunner(const ControlRunner &) = delete;
     ControlRunner &operator=(const ControlRunner &) = delete;
 
-    /// \brief Starts the node. Apart from the constructor, since it publishes at once.
+    /// \brief Starts the node. Not part of the constructor, since it publishes immediately.
     void start();
     void handle(ControlEvent event);
 
-    /// \param done Called once, later.
+    /// \brief Passes a proposal to the node.
+    /// \param done Called once, not from within propose().
     void propose(Propose proposal, ProposalHandler done);
-    /// \return The encoded answer to a peer's request, or nothing where it is none of a daemon's.
+    /// \return The encoded answer to a peer's request, or nothing where it isn't a valid request of
+    /// a daemon.
     [[nodiscard]] std::optional<std::string> serve(std::string_view request) const;
-    /// \brief Asks a peer for its status.
+    /// \brief Fetches a peer's status.
+    /// \param records The peer's address for records.
+    /// \param done Called with nothing where the peer doesn't answer.
     void fetchStatus(const Endpoint &records,
                      std::function<void(std::optional<DomainStatus>)> done) const;
 
     [[nodiscard]] const ControlNode &node() const noexcept { return m_node; }
 
 private:
-    /// \brief After an exception the node may hold half of a change: it gets no further event.
+    /// \return A handler that marks the node as broken. After an exception it may hold a
+    /// half-applied change, so it gets no further events.
     [[nodiscard]] FailureHandler failureHandler();
     void perform();
     void perform(ControlSendToPeer &action);
--- a/src/daemon/nodes/core_timer.h
+++ b/src/daemon/nodes/core_timer.h
@@ -10,20 +10,21 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief The one timer of a core node: fires when its nextTimer() has come.
+/// \brief The single timer of a core node; expires at the node's nextTimer().
 ///
-/// A node's next time often moves later, with each datagram; the timer is then left to fire and
-/// set anew, since setting it costs more than firing once too often.
+/// The node's next expiry often moves later, with each datagram. The timer is then left to fire
+/// early and re-armed, since re-arming it each time costs more than one spurious wake-up.
 class CoreTimer
 {
 public:
-    /// \param next The node's nextTimer(). \param expired Handles the node's timer event.
+    /// \param next The node's nextTimer().
+    /// \param expired Called when that time has come.
     CoreTimer(boost::asio::io_context &context, std::function<std::optional<TimePoint>()> next,
               std::function<void()> expired);
     CoreTimer(const CoreTimer &) = delete;
     CoreTimer &operator=(const CoreTimer &) = delete;
 
-    /// \brief To be called after each event that the node handled.
+    /// \brief Re-arms the timer where needed; call it after each event that the node handled.
     void update();
 
 private:
--- a/src/daemon/nodes/traffic_runner.cpp
+++ b/src/daemon/nodes/traffic_runner.cpp
@@ -67,8 +67,8 @@
 
 void TrafficRunner::perform(ProposeCommand &action)
 {
-    // The control side may publish a configuration at once, which is an event for this node: it
-    // has to wait until the actions of the present event are done.
+    // Posted, since the control core may publish a configuration immediately. That is an event for
+    // this node, which must not be handled before the actions of the current event are done.
     boost::asio::post(m_context, [this, action, alive = std::weak_ptr{m_alive}] {
         if (!alive.expired())
             m_callbacks.propose(action);
--- a/src/daemon/nodes/traffic_runner.h
+++ b/src/daemon/nodes/traffic_runner.h
@@ -13,7 +13,7 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief What a traffic node's actions are carried out by.
+/// \brief Callbacks that carry out a traffic node's actions.
 struct TrafficCallbacks
 {
     std::function<void(const Endpoint &, std::string)> toCaller;
@@ -23,13 +23,14 @@
     std::function<void(const CloseLink &)> closeLink;
     std::function<void(const SendOnLink &)> sendOnLink;
     std::function<void(const ProposeCommand &)>
-        propose; ///< Called later, not from within handle().
+        propose; ///< Posted; never called from within handle().
     std::function<void(const Notice &)> notice;
     std::function<void(const Observation &)> observe;
     std::function<void()> stopped;
 };
 
-/// \brief Runs a TrafficNode: gives it the time and its timer, and carries out its actions.
+/// \brief Drives a TrafficNode: passes it events, the time and its timer, and carries out its
+/// actions.
 class TrafficRunner
 {
 public:
@@ -44,7 +45,8 @@
     [[nodiscard]] const TrafficNode &node() const noexcept { return m_node; }
 
 private:
-    /// \brief After an exception the node may hold half of a change: it gets no further event.
+    /// \return A handler that marks the node as broken. After an exception it may hold a
+    /// half-applied change, so it gets no further events.
     [[nodiscard]] FailureHandler failureHandler();
     void perform();
     void perform(SendToCaller &action);
