--- a/src/daemon/records/records_client.h
+++ b/src/daemon/records/records_client.h
@@ -14,20 +14,23 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Asks other daemons for records and status, over HTTP.
+/// \brief Fetches records and status from other daemons over HTTP.
 class RecordsClient
 {
 public:
-    /// Takes the answer, or nothing where none came in time.
+    /// Receives the answer, or nothing where the fetch failed or timed out.
     using Handler = std::function<void(std::optional<std::string>)>;
 
-    /// \param timeout Of a fetch, from its start to the end of the answer.
+    /// \param timeout Limit for a fetch, from its start to the end of the answer.
     RecordsClient(boost::asio::io_context &context, Duration timeout);
-    /// \brief Answers what is open with nothing, later.
+    /// \brief Ends pending fetches without an answer; their handlers are posted.
     ~RecordsClient();
     RecordsClient(const RecordsClient &) = delete;
     RecordsClient &operator=(const RecordsClient &) = delete;
 
+    /// \brief Sends a request to a peer.
+    /// \param peer The peer's address for records.
+    /// \param request The encoded request.
     /// \param done Called once, never from within fetch().
     void fetch(const Endpoint &peer, const std::string &request, Handler done);
 
--- a/src/daemon/records/records_http.cpp
+++ b/src/daemon/records/records_http.cpp
@@ -10,7 +10,7 @@
 
 constexpr int HttpVersion = 11;
 constexpr std::string_view RecordsPath = "/records";
-/// Frames are binary; what they hold is the codec's matter.
+/// Frames are binary and are only interpreted by the codec.
 constexpr std::string_view FrameType = "application/octet-stream";
 
 } // namespace
--- a/src/daemon/records/records_http.h
+++ b/src/daemon/records/records_http.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Requests for records and their answers as HTTP messages.
+/// \brief Mapping of requests for records and their answers to HTTP messages.
 
 #include "core/time.h"
 #include "daemon/admin/http_server.h"
@@ -14,17 +14,20 @@
 
 namespace baobabtrail::daemon {
 
-/// \return The call that asks a peer for records.
-/// \param timeout From the call to the end of the answer.
+/// \brief Makes the HTTP call for a request.
+/// \param peer The peer's address for records.
+/// \param request The encoded request.
+/// \param timeout Limit from the start of the call to the end of the answer.
 [[nodiscard]] HttpCall recordsCall(const Endpoint &peer, const std::string &request,
                                    Duration timeout);
-/// \return What that call brought, or nothing where the peer did not answer.
+/// \return The encoded answer in the result of that call, or nothing where the peer did not answer
+/// with success.
 [[nodiscard]] std::optional<std::string> recordsAnswer(HttpResult result);
 
-/// \brief Makes the answer to a request for records, or nothing where it is not to be answered.
+/// \brief Returns the encoded answer to a request, or nothing where the request must be refused.
 using ServeRecords = std::function<std::optional<std::string>(std::string_view request)>;
 
-/// \return The reply to whatever came; only requests for records reach \a serve.
+/// \return The reply to an HTTP request; only those on the path for records are passed to \a serve.
 [[nodiscard]] HttpReply recordsReply(const HttpRequest &request, const ServeRecords &serve);
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/records/records_server.cpp
+++ b/src/daemon/records/records_server.cpp
@@ -6,9 +6,11 @@
 
 namespace {
 
-/// A request is a few dozen bytes; a stranger's long message is not read into memory.
+/// Requests are a few dozen bytes. The limit keeps longer messages, of clients that are no daemons,
+/// from being read into memory.
 constexpr std::size_t MaxRequestBytes = 64 << 10;
-/// For reading a request and writing its answer; the client's own timeout ends most of them sooner.
+/// Limit for reading a request and for writing its answer; the client's own timeout usually ends
+/// the connection earlier.
 constexpr Duration ConnectionTimeout = 30s;
 
 [[nodiscard]] AdministrationSettings httpSettings(std::size_t connections)
--- a/src/daemon/records/records_server.h
+++ b/src/daemon/records/records_server.h
@@ -12,17 +12,18 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Answers other daemons' requests for records and status, over HTTP.
+/// \brief Answers other daemons' requests for records and status over HTTP.
 class RecordsServer
 {
 public:
-    /// \param connections That are kept; further ones are answered once each.
-    /// \throws std::runtime_error where the address can't be listened on.
+    /// \param connections Maximum of keep-alive connections; further ones are closed after one
+    /// reply. \param serve Answers the requests. \param failed Called when the server can't
+    /// continue. \throws std::runtime_error if it can't listen on the address.
     RecordsServer(boost::asio::io_context &context, const Endpoint &local, std::size_t connections,
                   ServeRecords serve, const FailureHandler &failed);
 
 private:
-    /// Connections may outlive the server; \a serve may not be asked then.
+    /// Expires with the server: its connections may outlive it, and must not call \a serve then.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
     HttpServer m_http;
 };
--- a/src/daemon/settings/duration_text.cpp
+++ b/src/daemon/settings/duration_text.cpp
@@ -14,7 +14,7 @@
     Duration length;
 };
 
-// Largest first, so that toString() finds the shortest text.
+// Largest unit first, so that toString() returns the shortest text.
 constexpr std::array Units{Unit{"h", 1h}, Unit{"min", 1min}, Unit{"s", 1s}, Unit{"ms", 1ms},
                            Unit{"us", 1us}};
 
--- a/src/daemon/settings/duration_text.h
+++ b/src/daemon/settings/duration_text.h
@@ -8,11 +8,12 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Reads a time with its unit: "300ms", "2s", "10min", "1h", "50us".
-/// \return The time, or nothing where the text is not a whole number with one of these units.
+/// \brief Parses a duration with its unit: "300ms", "2s", "10min", "1h", "50us".
+/// \return The duration, or nothing where the text is not a non-negative integer with one of these
+/// units, or the value overflows.
 [[nodiscard]] std::optional<Duration> parseDuration(std::string_view text);
 
-/// \return The time with the largest unit that leaves a whole number, as "300ms".
+/// \return The duration in the largest unit that gives an integer, such as "300ms".
 [[nodiscard]] std::string toString(Duration duration);
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/settings/findings.h
+++ b/src/daemon/settings/findings.h
@@ -5,10 +5,10 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Something that is wrong with a settings file, and where.
+/// \brief An error in a settings file and its location.
 struct Finding
 {
-    std::string place; ///< Key path as "control.pingPeriod", or "line 3, column 7".
+    std::string place; ///< Key path such as "control.pingPeriod", or "line 3, column 7".
     std::string text;
 
     friend bool operator==(const Finding &, const Finding &) = default;
--- a/src/daemon/settings/object_reader.cpp
+++ b/src/daemon/settings/object_reader.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::size_t MaxSuggestionEdits = 2;
 
-/// \return Insertions, removals and replacements that turn one text into the other.
+/// \return The Levenshtein distance: insertions, deletions and substitutions that turn one text
+/// into the other.
 [[nodiscard]] std::size_t editDistance(std::string_view from, std::string_view to)
 {
     std::vector<std::size_t> row(to.size() + 1);
--- a/src/daemon/settings/object_reader.h
+++ b/src/daemon/settings/object_reader.h
@@ -17,10 +17,10 @@
 
 enum class Presence { Required, Optional };
 
-/// \brief Reads the keys of a JSON object into typed values and notes all that is wrong.
+/// \brief Reads the keys of a JSON object into typed values and collects a finding for each error.
 ///
-/// A value that is wrong leaves its output as it was, so that reading goes on and one run reports
-/// everything.
+/// An invalid value leaves its output unchanged and reading continues, so that one run reports all
+/// errors.
 ///
 /// \code
 /// ObjectReader reader{object, "control", findings};
@@ -46,12 +46,12 @@
             out = static_cast<Number>(value);
     }
 
-    /// \brief Reads a number that need not be whole.
+    /// \brief Reads a floating-point number.
     void real(std::string_view key, double &out, double min, double max);
 
-    /// \brief Reads a list of texts, each by \a convert.
-    /// \param convert Takes a text; returns an optional value, empty where the text is wrong.
-    /// \param expected What each text should be, for the finding.
+    /// \brief Reads a list of strings and converts each by \a convert.
+    /// \param convert Takes a string; returns an optional value, empty where the string is invalid.
+    /// \param expected Describes a valid string, for the finding.
     template <typename Value, typename Convert>
     void list(std::string_view key, std::vector<Value> &out, Convert convert,
               std::string_view expected, Presence presence = Presence::Optional)
@@ -78,7 +78,8 @@
         out = std::move(values);
     }
 
-    /// \brief Reads a nested object. \param read Called with its ObjectReader where it is there.
+    /// \brief Reads a nested object.
+    /// \param read Called with its ObjectReader if the key is present.
     template <typename Read>
     void section(std::string_view key, Read read, Presence presence = Presence::Optional)
     {
@@ -94,9 +95,10 @@
         nested.finish();
     }
 
-    /// \brief Notes a finding about \a key.
+    /// \brief Adds a finding about \a key.
     void addFinding(std::string_view key, std::string text);
-    /// \brief Notes every key that no call asked for, with a known key that is spelled like it.
+    /// \brief Adds a finding for each key that no call has read, suggesting a known key of similar
+    /// spelling.
     void finish();
 
 private:
--- a/src/daemon/settings/secret_file.cpp
+++ b/src/daemon/settings/secret_file.cpp
@@ -49,8 +49,8 @@
     if (file.descriptor() < 0)
         return systemError("can't be opened");
 
-    // The mode is that of the opened file, not of the path: one that is swapped in between would
-    // pass the check and be read all the same.
+    // Checks the mode of the opened file instead of the path: a file that is swapped in after a
+    // check of the path would be read without having been checked.
     struct stat status = {};
     if (::fstat(file.descriptor(), &status) != 0)
         return systemError("can't be examined");
--- a/src/daemon/settings/secret_file.h
+++ b/src/daemon/settings/secret_file.h
@@ -6,16 +6,16 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Why a file with a secret is not used.
+/// \brief Why a secret file was rejected.
 struct SecretError
 {
     std::string text;
 };
 
-/// \brief Reads a secret from a file that nobody but its owner may read.
+/// \brief Reads a secret from a file that only its owner may access.
 ///
-/// White space at the end is left out, so that an editor's last line break does no harm.
-/// \return The secret, or why it is not used.
+/// Trailing white space is removed, since editors end files with a line break.
+/// \return The secret, or why the file was rejected.
 [[nodiscard]] std::variant<std::string, SecretError>
 readSecretFile(const std::filesystem::path &path);
 
--- a/src/daemon/settings/settings_file.h
+++ b/src/daemon/settings/settings_file.h
@@ -8,13 +8,13 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief A settings file that may change while the daemon runs, with or without a signal.
+/// \brief A settings file that may change while the daemon runs.
 ///
 /// \code
 /// SettingsFile file{path};
 /// AnySettings settings = file.read();
-/// // Later, now and then:
-/// if (const auto newer = file.changed())
+/// // Later, periodically or on a signal:
+/// if (const auto newer = file.readIfChanged())
 ///     apply(*newer);
 /// \endcode
 class SettingsFile
@@ -22,15 +22,16 @@
 public:
     explicit SettingsFile(std::filesystem::path path);
 
-    /// \return What the file says now, changed or not.
+    /// \brief Reads the file, whether or not it has changed.
     [[nodiscard]] AnySettings read();
-    /// \return What the file says, where its text is another one than at the last look; nothing
-    /// where it is the same. So findings are told once, not at each look.
+    /// \brief Reads the file if its text has changed since the last read, so that findings are
+    /// reported once instead of at each poll.
+    /// \return The settings or findings, or nothing where the text is the same.
     [[nodiscard]] std::optional<AnySettings> readIfChanged();
 
 private:
     std::filesystem::path m_path;
-    std::optional<std::string> m_text; ///< At the last look; nothing where it can't be opened.
+    std::optional<std::string> m_text; ///< As last read; nothing where the file can't be opened.
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -114,7 +114,7 @@
 void readRecords(ObjectReader &reader, RecordsSettings &out)
 {
     reader.duration("timeout", out.timeout, 10ms, 1min);
-    reader.number("contexts", out.connections, 1, 256); // Older name.
+    reader.number("contexts", out.connections, 1, 256); // Deprecated alias of connections.
     reader.number("connections", out.connections, 1, 4096);
 }
 
@@ -315,7 +315,7 @@
     reader.section("records", [&](ObjectReader &nested) { readRecords(nested, out.records); });
     reader.section("log", [&](ObjectReader &nested) { readLog(nested, out.log); });
     reader.section("metrics", [&](ObjectReader &nested) {
-        // Workspaces are called tenants in settings.
+        // Settings files call workspaces tenants.
         nested.number("maxTenants", out.metrics.maxWorkspaces, 1, 4096);
     });
     reader.section("restarts", [&](ObjectReader &nested) { readRestarts(nested, out.restarts); });
@@ -324,7 +324,7 @@
     reader.finish();
 }
 
-/// \return The root of a settings file, or what is wrong with its syntax.
+/// \return The root object of a settings file, or a finding with the syntax error.
 [[nodiscard]] std::variant<boost::json::object, Findings> parseRoot(std::string_view text)
 {
     boost::json::parse_options options;
