--- a/src/daemon/admin/access_keys.cpp
+++ b/src/daemon/admin/access_keys.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t HashDigits = 64;
 constexpr std::string_view OperatorName = "operator";
 
-/// \brief Compares in a time that does not depend on how many digits match, so that answers can't
-/// be timed to guess a hash digit by digit.
+/// \brief Compares in constant time, so that a hash can't be guessed digit by digit from response
+/// times.
 [[nodiscard]] bool sameHash(std::string_view a, std::string_view b) noexcept
 {
     return a.size() == HashDigits && b.size() == HashDigits
--- a/src/daemon/admin/access_keys.h
+++ b/src/daemon/admin/access_keys.h
@@ -10,11 +10,11 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Says who an access key belongs to.
-/// \param key What the request carries.
+/// \brief Finds the holder of an access key.
+/// \param key The key that the request carries.
 /// \param operatorHashes Hashes of the operators' keys.
 /// \param config Holds the hashes of the workspaces' keys.
-/// \return The caller, or nothing where nobody has the key.
+/// \return The holder, or nothing where the key is empty or unknown.
 [[nodiscard]] std::optional<language::Caller>
 findCaller(std::string_view key, const std::vector<std::string> &operatorHashes,
            const Config &config);
--- a/src/daemon/admin/admin_api.h
+++ b/src/daemon/admin/admin_api.h
@@ -9,12 +9,12 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief The administration API: which path does what, and for whom.
+/// \brief The administration API: routes HTTP requests by their path and authenticates callers.
 ///
 /// | request | reply |
 /// |---|---|
 /// | POST /v1/execute, Bearer KEY | result of a statement, as JSON |
-/// | GET /metrics | metrics in Prometheus' text format |
+/// | GET /metrics | metrics in the Prometheus text format |
 /// | GET /healthz | "ok" |
 class AdminApi
 {
--- a/src/daemon/admin/domain_status.cpp
+++ b/src/daemon/admin/domain_status.cpp
@@ -8,10 +8,11 @@
 namespace {
 
 constexpr std::size_t MaxTriesPerDomain = 3;
-// Each costs a connection; those beyond it are as last heard, and the next call asks again.
+// Each query costs a connection. Members beyond the limit are reported with their last known
+// status, and the next call queries again.
 constexpr std::size_t MaxLocalMembersQueried = 32;
 
-/// \brief One collection that is under way.
+/// \brief One collection in progress.
 class StatusCollection : public std::enable_shared_from_this<StatusCollection>
 {
 public:
@@ -25,7 +26,7 @@
 
     void run(const View &view)
     {
-        ++m_pending; // so that the last answer can't come before the last question
+        ++m_pending; // Keeps the collection from finishing before the last query is sent.
         queryLocalMembers(view.self);
         for (const auto &[domain, members] : view.remote)
             queryDomain(members, 0);
@@ -87,7 +88,7 @@
 
     StatusFetch m_fetch;
     std::function<void(std::vector<DomainStatus>)> m_done;
-    std::vector<DomainStatus> m_results; // own first until the end
+    std::vector<DomainStatus> m_results; // Local domain first, until sorted at the end.
     std::size_t m_pending = 0;
 };
 
--- a/src/daemon/admin/domain_status.h
+++ b/src/daemon/admin/domain_status.h
@@ -9,17 +9,19 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Asks a daemon for its status; the handler gets nothing where it does not answer.
+/// \brief Fetches the status of a daemon; the handler gets nothing where it does not answer.
 using StatusFetch = std::function<void(const Endpoint &records,
                                        std::function<void(std::optional<DomainStatus>)>)>;
 
-/// \brief Collects the status of every failure domain, asked for afresh.
+/// \brief Collects the current status of every failure domain.
 ///
-/// One daemon of each other domain is asked, up to three in a row. In its own domain it asks those
-/// members whose revision is older than the newest known here: news of a revision spreads with
-/// pings, and a member may have it well before its news has come.
-/// \param local This daemon's own status.
-/// \param done Called once; a domain none of whose daemons answered is left out.
+/// Queries one daemon of each other domain, trying up to three in turn. In the local domain it
+/// queries the members whose last known revision is older than this daemon's: revisions are
+/// announced with pings, so a member may have a newer one well before that is known here.
+/// \param local This daemon's status.
+/// \param view The known members of all domains.
+/// \param fetch Queries one daemon.
+/// \param done Called once; a domain of which no daemon answered is left out.
 void collectDomainStatus(DomainStatus local, const View &view, StatusFetch fetch,
                          std::function<void(std::vector<DomainStatus>)> done);
 
--- a/src/daemon/admin/http_server.cpp
+++ b/src/daemon/admin/http_server.cpp
@@ -27,12 +27,13 @@
 namespace {
 
 constexpr std::uint32_t MaxHeaderBytes = 8192;
-/// Share of the process's file descriptors that connections of one server may use; the others are
-/// for targets, callers and the store.
+/// The connections of one server may use the process's file descriptors divided by this; the others
+/// are left for targets, callers and the store.
 constexpr std::size_t DescriptorDivisor = 4;
-/// Where the limit can't be read.
+/// Assumed where the limit can't be read or is infinite.
 constexpr std::size_t DefaultDescriptorLimit = 1024;
-/// Longest wait for the request of a connection that is taken for one only: others wait for it.
+/// Time limit for receiving the request of a single-request connection; kept short, since other
+/// clients wait for the connection to close.
 constexpr Duration SingleRequestTimeout = 1s;
 
 [[nodiscard]] std::size_t descriptorLimit() noexcept
@@ -45,14 +46,14 @@
 
 } // namespace
 
-/// \brief What a server and its connections share.
+/// \brief State that is shared by a server and its connections.
 struct HttpServerState
 {
     AdministrationSettings settings;
     HttpServer::Handle handle;
     HttpConnections connections;
     std::size_t maxOpen = 0;
-    /// Goes on accepting, where that was put off until a connection ends.
+    /// Resumes accepting after a connection has closed; set while accepting is paused.
     std::function<void()> resume{};
 
     void ended()
@@ -65,11 +66,11 @@
 
 namespace {
 
-/// \brief One connection of a client.
+/// \brief One client connection.
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
-    /// \param singleRequest It ends with its first reply.
+    /// \param singleRequest Whether to close the connection after its first reply.
     HttpSession(tcp::socket socket, std::shared_ptr<HttpServerState> state, bool singleRequest)
         : m_stream(std::move(socket))
         , m_state(std::move(state))
@@ -102,7 +103,8 @@
         }
         if (error)
             return;
-        // The handler may take its time, as "wait" does; the client's own timeout ends that.
+        // No timeout while the handler runs: a statement such as "wait" may take long, and the
+        // client's own timeout limits it.
         m_stream.expires_never();
         const auto message = m_parser->release();
         m_keepAlive = message.keep_alive() && !m_singleRequest;
--- a/src/daemon/admin/http_server.h
+++ b/src/daemon/admin/http_server.h
@@ -13,13 +13,13 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief What the administration API needs to know of an HTTP request.
+/// \brief The parts of an HTTP request that handlers use.
 struct HttpRequest
 {
     std::string method;
     std::string path;
-    std::string authorization;  ///< Value of the header; empty where there is none.
-    std::string acceptEncoding; ///< The same.
+    std::string authorization;  ///< Value of the header; empty if absent.
+    std::string acceptEncoding; ///< Value of the header; empty if absent.
     std::string body;
 };
 
@@ -28,35 +28,37 @@
     unsigned status = 200;
     std::string contentType = "application/json";
     std::string body;
-    std::string contentEncoding{}; ///< Of the body; empty for none.
-    bool closes = false;           ///< The connection ends with this reply.
+    std::string contentEncoding{}; ///< Encoding of the body; empty for none.
+    bool closes = false;           ///< Whether to close the connection after this reply.
 };
 
-/// \brief Connections of an HttpServer, now and so far.
+/// \brief Connection counts of an HttpServer.
 struct HttpConnections
 {
     std::size_t open = 0;
-    std::size_t peak = 0;            ///< That were open at once.
-    std::uint64_t singleRequest = 0; ///< Ended after one reply, since enough others were kept.
-    std::uint64_t postponed = 0;     ///< Times that a new one had to wait for another's end.
+    std::size_t peak = 0;            ///< Maximum of connections open at once.
+    std::uint64_t singleRequest = 0; ///< Closed after one reply, since the maximum of keep-alive
+                                     ///< connections was reached.
+    std::uint64_t postponed = 0;     ///< Times that accepting was paused until a connection closes.
 };
 
 struct HttpServerState;
 
-/// \brief Takes HTTP requests on one address and hands them to a handler.
+/// \brief Accepts HTTP connections on one address and passes their requests to a handler.
 ///
-/// Every request is answered: beyond the connections that are kept, others are taken for one
-/// request each, up to a share of the process's file descriptors; further ones wait until one of
-/// them ends. A connection that is closed without a word tells its client nothing, and it comes
-/// again at once.
+/// Every request is answered. Beyond the maximum of keep-alive connections, further ones are
+/// accepted for one request each, up to a share of the process's file descriptors; beyond that,
+/// clients wait until a connection closes. Connections aren't closed without a reply, since a
+/// client whose connection was closed that way would reconnect at once.
 class HttpServer
 {
 public:
     using Respond = std::function<void(HttpReply)>;
-    /// \param respond To be called once, at any later time.
+    /// \param respond Must be called once, at any later time.
     using Handle = std::function<void(HttpRequest, Respond respond)>;
 
-    /// \throws std::runtime_error where the address can't be listened on.
+    /// \param failed Called when the server can't accept any more.
+    /// \throws std::runtime_error if it can't listen on the address.
     HttpServer(boost::asio::io_context &context, const Endpoint &local,
                const AdministrationSettings &settings, Handle handle, FailureHandler failed);
     ~HttpServer();
--- a/src/daemon/admin/statement_body.h
+++ b/src/daemon/admin/statement_body.h
@@ -8,19 +8,20 @@
 #include <variant>
 
 /// \file
-/// \brief How a statement of the operators' language travels over HTTP, for daemons of either kind.
+/// \brief HTTP encoding of statements of the operators' language and of their results, for both
+/// kinds of daemon.
 
 namespace baobabtrail::daemon {
 
-/// Where statements are posted.
+/// Path to which statements are posted.
 inline constexpr std::string_view StatementPath = "/v1/execute";
 
-/// \return The request, or what is wrong with the body.
+/// \return The request, or a text that says what is wrong with the body.
 [[nodiscard]] std::variant<language::Request, std::string>
 readStatementBody(const std::string &body);
 
 [[nodiscard]] HttpReply resultReply(unsigned httpStatus, const language::Result &result);
-/// \brief Tells the caller what is wrong with its request.
+/// \return A reply that reports what is wrong with the caller's request.
 [[nodiscard]] HttpReply usageReply(unsigned httpStatus, std::string finding);
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/supervisor/asio_runtime.h
+++ b/src/daemon/supervisor/asio_runtime.h
@@ -11,7 +11,7 @@
 namespace baobabtrail::daemon {
 
 /// \return A runtime whose timers run on \a context.
-/// \param failed Told of each failure of a child.
+/// \param failed Called for each failure of a child.
 [[nodiscard]] inline SupervisorRuntime asioRuntime(boost::asio::io_context &context,
                                                    decltype(SupervisorRuntime::failed) failed)
 {
@@ -28,7 +28,8 @@
     return result;
 }
 
-/// \return A child that owns what \a start puts into \a owner.
+/// \return A child whose object is created in \a owner by \a start, and destroyed when it is
+/// stopped.
 template <typename Part>
 [[nodiscard]] Child ownedChild(std::string name, std::unique_ptr<Part> &owner,
                                std::function<void(FailureHandler)> start)
--- a/src/daemon/supervisor/supervisor.cpp
+++ b/src/daemon/supervisor/supervisor.cpp
@@ -32,7 +32,7 @@
 
 void Supervisor::stop()
 {
-    // Restarts and reports that are still under way belong to the run that ends here.
+    // Invalidates pending restarts and failure reports, which belong to the run that ends here.
     ++*m_epoch;
     for (std::size_t index = m_slots.size(); index > 0; --index)
         stopChild(index - 1);
@@ -50,8 +50,8 @@
     const std::uint64_t run = ++slot.run;
     slot.running = true;
 
-    // A failure is handled after the child's own call has returned: stopping a child from within
-    // its handler would free what the handler still uses.
+    // A failure is handled after the child's call has returned: stopping the child from within its
+    // own handler would free objects that the handler still uses.
     const auto report
         = [this, index, run, epoch = m_epoch, started = *m_epoch](const std::string &why) {
               if (*epoch != started)
--- a/src/daemon/supervisor/supervisor.h
+++ b/src/daemon/supervisor/supervisor.h
@@ -11,31 +11,31 @@
 
 namespace baobabtrail::daemon {
 
-/// \brief Reports that a child can't go on, and why.
+/// \brief Called by a child to report that it can't continue, and why.
 using FailureHandler = std::function<void(const std::string &why)>;
 
-/// \brief Something that a supervisor starts, stops and starts again.
+/// \brief A component that a supervisor starts, stops and restarts.
 struct Child
 {
     std::string name;
-    /// Throws, or calls the handler later, where the child fails.
+    /// Throws if the child can't start; if the child fails later, it calls the handler.
     std::function<void(FailureHandler)> start;
-    /// Also called after a failure and before a start that threw is tried again.
+    /// Also called after a failure, and before a start that threw is retried.
     std::function<void()> stop;
 };
 
-/// \brief What a supervisor needs of its surroundings; tests pass a virtual clock.
+/// \brief Clock, timers and failure log of a supervisor; tests pass a virtual clock.
 struct SupervisorRuntime
 {
     std::function<TimePoint()> now;
-    /// Calls back later, never from within the call.
+    /// Calls the function after the delay, never from within this call.
     std::function<void(Duration, std::function<void()>)> after;
-    /// Told of each failure and of the time until the restart.
+    /// Called for each failure that is followed by a restart, with the delay until then.
     std::function<void(const std::string &child, const std::string &why, Duration delay)> failed;
 };
 
-/// \brief Keeps its children running: restarts one that failed after a growing delay, and fails
-/// itself where one fails too often.
+/// \brief Keeps its children running: restarts a failed child with exponential backoff, and fails
+/// itself if a child fails too often.
 ///
 /// \code
 /// Supervisor root{"daemon", policy, runtime};
@@ -51,14 +51,16 @@
     Supervisor(const Supervisor &) = delete;
     Supervisor &operator=(const Supervisor &) = delete;
 
-    /// \brief Adds a child; children start in the order they were added and stop in reverse.
+    /// \brief Adds a child. Children are started in the order in which they were added and stopped
+    /// in reverse.
     void add(Child child);
 
-    /// \param failed Called once, where a child fails too often; all children are stopped then.
+    /// \brief Starts all children.
+    /// \param failed Called once if a child fails too often, after all children have been stopped.
     void start(FailureHandler failed);
     void stop();
 
-    /// \return This supervisor as a child of another; it must outlive that one.
+    /// \return This supervisor as a child of another; it must outlive the other one.
     [[nodiscard]] Child asChild();
 
 private:
@@ -75,7 +77,8 @@
     void childFailed(std::size_t index, std::uint64_t run, const std::string &why);
     void giveUp(const std::string &why);
     [[nodiscard]] Duration delayAfter(std::size_t failures) const noexcept;
-    /// \brief Calls \a call later, unless this supervisor is gone or was stopped in between.
+    /// \brief Schedules \a call, to be skipped if this supervisor is stopped or destroyed before
+    /// then.
     void later(Duration delay, std::function<void()> call);
 
     std::string m_name;
@@ -86,8 +89,8 @@
     std::shared_ptr<std::uint64_t> m_epoch = std::make_shared<std::uint64_t>(0);
 };
 
-/// \brief Runs a handler of a child; an exception becomes the child's failure instead of ending
-/// the loop that runs every part of the daemon.
+/// \brief Runs a child's handler and reports an exception as the child's failure; otherwise it
+/// would end the event loop that all components of the daemon share.
 template <typename Call>
 void guarded(const FailureHandler &failed, Call &&call)
 {
