--- a/src/daemon/admin/admin_api.cpp
+++ b/src/daemon/admin/admin_api.cpp
@@ -62,7 +62,7 @@
         = findCaller(bearerKey(request.authorization), m_operatorHashes, *m_backend.config());
     if (!caller) {
         ++m_counters.adminUnauthorized;
-        respond(usageReply(401, "no key, or one that nobody has"));
+        respond(usageReply(401, "the access key is missing or unknown"));
         return;
     }
     ++m_counters.adminAccepted;
--- a/src/daemon/admin/http_server.cpp
+++ b/src/daemon/admin/http_server.cpp
@@ -98,7 +98,7 @@
     {
         if (error == http::error::body_limit) {
             m_keepAlive = false;
-            reply({413, "text/plain", "the body is too long\n"});
+            reply({413, "text/plain", "the request body is too long\n"});
             return;
         }
         if (error)
--- a/src/daemon/admin/statement_body.cpp
+++ b/src/daemon/admin/statement_body.cpp
@@ -17,13 +17,13 @@
     const boost::json::object &object = root.get_object();
     const auto *text = object.if_contains("text");
     if (!text || !text->is_string())
-        return "text: expected a text";
+        return "text: expected a string";
 
     language::Request request;
     request.text = std::string{std::string_view{text->get_string()}};
     if (const auto *changeId = object.if_contains("changeId"); changeId && !changeId->is_null()) {
         if (!changeId->is_string())
-            return "changeId: expected a text";
+            return "changeId: expected a string";
         request.changeId = std::string{std::string_view{changeId->get_string()}};
     }
     if (const auto *expected = object.if_contains("expected"); expected && !expected->is_null()) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -74,7 +74,7 @@
         finish(ExitStatus::Failed);
     });
     m_context.run();
-    logLine(Severity::Info, Part::Daemon, "has ended");
+    logLine(Severity::Info, Part::Daemon, "exits");
     return m_status;
 }
 
@@ -85,9 +85,9 @@
         return;
     }
     m_stopping = true;
-    logLine(Severity::Info, Part::Daemon, "stops when nothing is in progress");
+    logLine(Severity::Info, Part::Daemon, "stops once no request is in progress");
     m_stopTimer.start(m_settings.stopTimeout, [this] {
-        logLine(Severity::Warning, Part::Daemon, "ends now, its time to stop is up");
+        logLine(Severity::Warning, Part::Daemon, "exits now, the stop timeout has expired");
         finish(ExitStatus::Done);
     });
     m_control->handle(AnnounceLeave{});
@@ -140,7 +140,7 @@
     // gave up.
     if (!m_platform) {
         boost::asio::post(m_context, [done = std::move(done)] {
-            done(PlatformFailure{"the client of the platform has stopped"});
+            done(PlatformFailure{"the platform client has stopped"});
         });
         return;
     }
@@ -168,7 +168,7 @@
                            // where it is still needed.
                            report({Severity::Warning,
                                    Part::Config,
-                                   "a change of this daemon's was not accepted",
+                                   "a change proposed by this daemon was not accepted",
                                    {},
                                    change});
                        });
--- a/src/daemon/net/link.cpp
+++ b/src/daemon/net/link.cpp
@@ -22,7 +22,7 @@
 void Link::connect(const Endpoint &target)
 {
     m_connectTimer.start(m_settings.connectTimeout,
-                         [self = shared_from_this()] { self->fail("no connection in time"); });
+                         [self = shared_from_this()] { self->fail("connect timeout"); });
     m_socket.async_connect(toAsio<tcp>(target), [self = shared_from_this()](error_code error) {
         self->connected(error);
     });
@@ -71,7 +71,7 @@
             return;
     }
     if (error) {
-        fail("the target sent something that is not a message");
+        fail("the target sent a malformed message");
         return;
     }
     read();
@@ -86,8 +86,9 @@
     // Bounds the memory that a target which has stopped reading can take up; requests would queue
     // here until the daemon runs out of memory. Once the connection is closed it gets no more.
     if (m_queued.size() > m_settings.maxQueuedBytes) {
-        boost::asio::post(m_socket.get_executor(),
-                          [self = shared_from_this()] { self->fail("the target does not read"); });
+        boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
+            self->fail("send queue full, the target does not read");
+        });
         return;
     }
     write();
--- a/src/daemon/nodes/control_runner.cpp
+++ b/src/daemon/nodes/control_runner.cpp
@@ -26,8 +26,9 @@
 ControlRunner::~ControlRunner()
 {
     for (auto &[proposal, done] : m_proposals)
-        boost::asio::post(m_context,
-                          [done = std::move(done)] { done(ProposalUnknown{"the daemon stops"}); });
+        boost::asio::post(m_context, [done = std::move(done)] {
+            done(ProposalUnknown{"the daemon is stopping"});
+        });
 }
 
 void ControlRunner::start()
--- a/src/daemon/settings/object_reader.cpp
+++ b/src/daemon/settings/object_reader.cpp
@@ -69,7 +69,7 @@
     if (!found)
         return;
     if (!found->is_string() || found->get_string().empty()) {
-        addFinding(key, "expected a text that is not empty");
+        addFinding(key, "expected a non-empty string");
         return;
     }
     out = std::string{std::string_view{found->get_string()}};
@@ -131,7 +131,7 @@
         return false;
     const auto value = wholeNumber(*found);
     if (!value) {
-        addFinding(key, "expected a whole number that is not negative");
+        addFinding(key, "expected a non-negative integer");
         return false;
     }
     if (*value < min || *value > max) {
