--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// \brief A directory of its own for one test, removed at the end.
+/// \brief A temporary directory for one test; removed by the destructor.
 class ScratchDirectory
 {
 public:
@@ -95,7 +95,7 @@
     cr_assert(settings->stopTimeout == 30s);
 }
 
-// Guards against a daemon of a newer release that refuses the settings which the older one took.
+// Guards against a newer release that rejects settings which an older one accepted.
 Test(settings, theOlderNameOfRecordsConnectionsIsRead)
 {
     const ScratchDirectory scratch;
@@ -155,9 +155,8 @@
     cr_assert_str_eq(twice[0].place.c_str(), "line 2, column 2");
 }
 
-// Anyone with an account on the VM can read a secret of mode 0644, and then forge tokens and
-// messages between daemons.
-// The daemon refuses to start, and says what to do about it.
+// Guards against a secret that other accounts on the VM can access, as with mode 0644: they could
+// forge tokens and messages between daemons. The daemon must refuse to start and say how to fix it.
 Test(settings, secretThatOthersMayReadIsRefused)
 {
     const ScratchDirectory scratch;
@@ -173,8 +172,8 @@
         holds(findingsOf(settingsText("/nowhere/secret")), "clusterSecretFile", "can't be opened"));
 }
 
-// The examples are what newcomers copy. Their secrets are not on this machine; nothing else may be
-// wrong with them.
+// The example settings get copied, so they must be valid. Only their secret files, which don't
+// exist on the test machine, may be reported.
 Test(settings, examplesLackNothingButTheirSecrets)
 {
     const std::filesystem::path examples{BAOBABTRAIL_SOURCE_DIR "/examples"};
@@ -228,8 +227,8 @@
 
 } // namespace
 
-// An experiment leaves mechanisms out by their names; a name that is not known must not pass for
-// one that is left out, or its figure would be of the whole.
+// Experiments disable mechanisms by name. An unknown name must be reported: if it were ignored, the
+// experiment would measure the system with all mechanisms enabled.
 Test(settings, experimentsNameWhatTheyLeaveOut)
 {
     const auto read = readAnySettings(directText(
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr RestartPolicy Policy{100ms, 500ms, 3, 10s};
 
-/// \brief Time that moves only when the test says so.
+/// \brief A clock that only the test advances.
 class VirtualClock
 {
 public:
@@ -45,7 +45,7 @@
     std::multimap<TimePoint, std::function<void()>> m_calls;
 };
 
-/// \brief A child that fails when the test says so.
+/// \brief A child that fails on demand.
 struct FakeChild
 {
     int starts = 0;
@@ -68,9 +68,9 @@
 
 } // namespace
 
-// A child's port breaks again and again, its neighbour is well.
-// The child is stopped and started anew, each time after a longer wait, and the neighbour runs on;
-// a child that throws from its start is treated the same.
+// One child fails repeatedly, as with a broken port, while its sibling is healthy. It must be
+// stopped and restarted with a growing delay, without the sibling being touched. A child that
+// throws from its start is handled the same way.
 Test(supervisor, failedChildIsRestartedAloneWithGrowingDelay)
 {
     for (const bool throws : {false, true}) {
@@ -100,9 +100,9 @@
     }
 }
 
-// One child fails more often than the policy allows within its window, so a restart doesn't help.
-// The supervisor stops its other children, in reverse, and fails itself, once; its own parent
-// then restarts all of them, and gives up in the end.
+// One child fails more often than the policy allows within its window, so restarting it doesn't
+// help. The supervisor must stop its other children, in reverse, and fail once itself; its parent
+// then restarts the whole branch, and finally gives up too.
 Test(supervisor, childThatKeepsFailingTakesItsParentDown)
 {
     VirtualClock clock;
@@ -149,8 +149,8 @@
     cr_assert_eq(failing.starts, 21);
 }
 
-// A handler of the stopped run reports its failure late, after the child was started anew.
-// The report belongs to the earlier run: the new one is left alone.
+// A handler of an earlier run reports a failure after the child was restarted. The report must not
+// stop the new run.
 Test(supervisor, lateReportOfAnEarlierRunIsIgnored)
 {
     VirtualClock clock;
