--- a/tests/records-known/records_close_test.cpp
+++ b/tests/records-known/records_close_test.cpp
@@ -6,9 +6,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-// The peer is dead, or does not answer what it was asked, or this daemon's client is restarted
-// with a question open. A control node that never got a result would never ask again.
-// Every fetch ends, with nothing; and a peer that is back is asked with success.
+// A control node that never gets the result of a fetch would never fetch again. So every fetch must
+// end, without an answer, when the peer is dead, when it refuses the request, or when this daemon's
+// client is restarted during the fetch; and a fetch from a peer that is back must succeed.
 Test(records, everyFetchEndsWithoutAnAnswer, .timeout = 30)
 {
     boost::asio::io_context context;
--- a/tests/system/killed_daemon_test.cpp
+++ b/tests/system/killed_daemon_test.cpp
@@ -13,7 +13,7 @@
     return values.contains(name) ? values.at(name).to_number<std::int64_t>() : 0;
 }
 
-/// \brief Reads the two lines that a caller prints at its end.
+/// \brief The two lines that a caller prints when it exits.
 struct CallerReport
 {
     explicit CallerReport(Process &caller)
@@ -28,9 +28,9 @@
 
 } // namespace
 
-// Families hold their feeds open when an entry VM is lost without a word.
-// Three daemons serve 30 feeds; one is killed while data flows, the fabric goes on spraying to it
-// for a while. No daemon holds anything of a flow, so each feed goes on over the other two.
+// Guards against flows that break when a daemon is killed. Three daemons serve 30 feeds; one is
+// killed while data flows, and the fabric keeps spraying datagrams to it for a while. Daemons keep
+// no state of a flow, so each feed must continue over the other two.
 Test(system, killedDaemonBreaksNoEstablishedFlow)
 {
     constexpr std::int64_t Feeds = 30;
@@ -49,7 +49,7 @@
     });
     deployment.removeFromFabric(1);
     const auto after = stats();
-    // Every feed sends ten times a second: this many echoes mean that the feeds work again.
+    // Each feed sends ten times a second, so this many echoes show that the feeds work again.
     waitUntil("echoes after the kill", [&] {
         return numberAt(stats(), "flows", "echoes") - numberAt(after, "flows", "echoes")
                > 10 * Feeds;
@@ -63,9 +63,9 @@
     cr_assert_eq(numberAt(report.stats, "flows", "wrongData"), 0);
 }
 
-// A swap's owner is frozen with requests in its hands and wakes when their deadlines have passed.
-// The caller has long been told or has given up; the owner still believes that they are its own.
-// It must neither start one that was refused elsewhere, nor one that ran already.
+// The owner of requests is stopped with requests queued and resumes after their deadlines. Their
+// callers have got an outcome or timed out by then, but the owner still holds the requests. It must
+// not run one that was refused elsewhere, nor one that has already run.
 Test(system, ownerFrozenPastTheDeadlineRunsNothingTwice)
 {
     constexpr std::int64_t Requests = 400;
