--- a/tests/daemon/datagram_dispatcher_test.cpp
+++ b/tests/daemon/datagram_dispatcher_test.cpp
@@ -36,7 +36,7 @@
     return datagram;
 }
 
-/// \brief A sorter whose events are kept.
+/// \brief A dispatcher whose events are recorded.
 struct Fixture
 {
     Counters counters;
@@ -52,9 +52,9 @@
 
 } // namespace
 
-// Each kind of datagram arrives where it can.
-// Parsing a target's envelope as a caller's frame may seem to work, and the target's answer would
-// be lost; so the kinds are told apart before either is parsed.
+// Guards against a target's envelope that is taken for a caller's frame: parsing it as one may
+// succeed, and the target's answer would be lost. So the kinds must be distinguished before
+// parsing, on each socket where they arrive.
 Test(datagrams, eachKindBecomesItsEvent)
 {
     Fixture fixture;
@@ -81,9 +81,9 @@
     cr_assert(std::holds_alternative<FromPeer>(fixture.traffic[3]));
 }
 
-// A stranger who reaches the data address writes a PROXY header of its own: it would speak for
-// any caller, and for a target whose address it names.
-// Only the fabric's addresses are believed; whatever else arrives is counted and dropped.
+// Guards against a sender outside the fabric that reaches the data address with a forged PROXY
+// header: it could impersonate any caller, or a target whose address it names. Only the fabric's
+// addresses are trusted; all other datagrams are counted and dropped.
 Test(datagrams, whatIsForgedOrDamagedIsCountedAndDropped)
 {
     Fixture fixture;
--- a/tests/daemon/domain_status_test.cpp
+++ b/tests/daemon/domain_status_test.cpp
@@ -38,7 +38,7 @@
     return view;
 }
 
-/// \brief Daemons that answer with their revision; the others don't answer.
+/// \brief Daemons that answer with the given status; all others don't answer.
 struct Fleet
 {
     std::map<Endpoint, DomainStatus> answers;
@@ -63,9 +63,9 @@
 
 } // namespace
 
-// "wait" asks whether revision 7 is in force everywhere. News of it reaches this daemon with pings,
-// some seconds later than the members have it.
-// A member that is not known to have it is asked itself, one that has it is not.
+// The statement "wait" checks whether revision 7 is in force everywhere. This daemon learns of the
+// members' revisions from pings, some seconds after they have it. Members that aren't known to have
+// the revision must be queried, and the others must not.
 Test(domainStatus, localMembersThatLagAreQueried)
 {
     Fleet fleet;
@@ -77,12 +77,13 @@
     cr_assert_eq(result.size(), 1);
     const auto &members = result[0].members;
     cr_assert(members[1].revision == Revision{7});
-    cr_assert(members[3].revision == Revision{6}, "one that does not answer is as last heard");
+    cr_assert(members[3].revision == Revision{6},
+              "a member that does not answer keeps its last known revision");
     cr_assert((fleet.queried == std::vector<Endpoint>{recordsOf(2), recordsOf(4)}));
 }
 
-// The first daemons asked of another domain are dead, a third domain is cut off.
-// Up to three are asked in each; a domain without an answer is left out, not made up.
+// The first daemons queried in another domain are dead, and a third domain is unreachable. Up to
+// three daemons are queried in each domain; a domain without an answer must be omitted.
 Test(domainStatus, otherDomainsAreQueriedUntilOneAnswers)
 {
     Fleet fleet;
--- a/tests/daemon/http_server_test.cpp
+++ b/tests/daemon/http_server_test.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t MaxConnections = 2;
 
-/// \brief A server that answers when it is told to, and clients with a connection each.
+/// \brief A server that replies on demand, and clients with one connection each.
 struct Fixture
 {
     boost::asio::io_context context{1};
@@ -90,8 +90,9 @@
 
 } // namespace
 
-// More clients come than connections are kept. A connection that is closed without a word tells its
-// client nothing: every one of them has to get its answer, and the last ones give theirs up then.
+// More clients connect than the maximum of keep-alive connections. A connection closed without a
+// reply tells its client nothing, so each client must get its reply; the connections beyond the
+// maximum are closed after it.
 Test(httpServer, answersBeyondTheConnectionsThatAreKept)
 {
     constexpr std::size_t clients = 20;
@@ -106,8 +107,9 @@
     cr_assert_eq(fixture.server.connections().peak, clients);
 }
 
-// More clients come than the process has file descriptors for. The last ones are taken once others
-// have ended; taken at once, they would use up what connections to targets need.
+// More clients connect than the server's share of file descriptors allows. The last ones must be
+// accepted only after other connections have closed; accepted at once, they would use up the
+// descriptors that connections to targets need.
 Test(httpServer, postponesConnectionsBeyondItsShareOfDescriptors)
 {
     constexpr rlim_t descriptors = 64;
@@ -128,7 +130,8 @@
     cr_assert_eq(fixture.server.connections().peak, share);
 }
 
-// A client that is sent elsewhere does not come again: its connection would take up a place.
+// A redirected client does not return, so its connection must be closed: kept alive, it would count
+// against the maximum.
 Test(httpServer, endsTheConnectionOfARedirectedClient)
 {
     Fixture fixture{true};
--- a/tests/daemon/links_test.cpp
+++ b/tests/daemon/links_test.cpp
@@ -21,7 +21,7 @@
 constexpr TargetId T{5};
 constexpr Generation G{3};
 
-/// \brief Links to one listening target, with all events kept.
+/// \brief Links to one listening target; records all events.
 struct Fixture
 {
     boost::asio::io_context context;
@@ -40,7 +40,7 @@
     void runUntil(const std::function<bool()> &condition)
     {
         for (int round = 0; !condition(); ++round) {
-            cr_assert_lt(round, 100000, "it never happens");
+            cr_assert_lt(round, 100000, "the condition was never met");
             context.run_one_for(std::chrono::seconds{5});
         }
     }
@@ -78,7 +78,7 @@
     cr_assert(!reader.feed(got, messages) && messages.size() == 1);
     cr_assert(std::get<Dispatch>(messages[0]).payload == "swap");
 
-    // One whole message and half of the next: the half is kept until the rest is there.
+    // One whole message and part of the next, which must be buffered until the rest arrives.
     const std::string done = wire::encodeLink(AttemptDone{AttemptId{9}, {}, "done"});
     const std::string both = done + done;
     boost::asio::write(fixture.target, boost::asio::buffer(both, done.size() + 3));
@@ -88,9 +88,9 @@
     cr_assert(fixture.lastIs<FromLink>());
 }
 
-// The target closes, sends rubbish, is not there, or stops reading while work is sent to it.
-// Each time one LinkClosed tells the traffic node, which then knows what is unknown; after a
-// CloseLink of its own it hears nothing more.
+// The target closes the connection, sends malformed data, doesn't listen, or stops reading while it
+// is sent work. Each time the traffic node must get exactly one LinkClosed, by which it knows that
+// the outcome of its requests is unknown; after its own CloseLink it must get no event.
 Test(links, everyBrokenConnectionIsReportedOnce, .timeout = 30)
 {
     const std::vector<std::function<void(Fixture &)>> faults{
--- a/tests/daemon/process_test.cpp
+++ b/tests/daemon/process_test.cpp
@@ -22,7 +22,7 @@
 using Clock = std::chrono::steady_clock;
 constexpr std::chrono::seconds StartTimeout{20};
 
-/// \brief A settings file with a secret and free ports, in a directory of its own.
+/// \brief A settings file with a secret and free ports, in a temporary directory.
 class Fixture
 {
 public:
@@ -74,7 +74,7 @@
     std::filesystem::path m_path;
 };
 
-/// \return The whole reply, or nothing where the daemon does not answer.
+/// \return The whole reply; empty if the daemon does not answer.
 [[nodiscard]] std::string exchange(std::uint16_t port, const std::string &request)
 {
     boost::asio::io_context context;
@@ -127,10 +127,9 @@
     cr_assert_eq(daemon.waitForEnd(), 0);
 }
 
-// An operator stops a daemon while the fabric still hands it datagrams of established feeds.
-// It has no request in progress, so nothing of its own holds it; if it ended now, each of those
-// datagrams would be lost.
-// It stays until the fabric has been quiet for a while, and then ends with status 0.
+// A daemon without requests in progress is stopped while the fabric still sends it datagrams of
+// established feeds. If it exited at once, each of these datagrams would be lost. It must run until
+// the fabric has been quiet for a while, and then exit with status 0.
 Test(process, stopWaitsUntilTheFabricIsQuiet, .timeout = 60)
 {
     const Fixture fixture{R"(, "stopLinger": "1s")"};
@@ -150,8 +149,8 @@
     cr_assert_eq(daemon.waitForEnd(), 0);
 }
 
-// The settings are wrong, or a port stays taken however often its owner is restarted.
-// The process ends with a status that tells the two apart: only the second is worth a new start.
+// The settings are invalid, or a port stays in use however often its component is restarted. The
+// exit status must distinguish the two, since only the second one is worth a restart.
 Test(process, endsWithAStatusThatSaysWhy, .timeout = 60)
 {
     const Fixture wrong{R"(, "stopTimout": "1s")"};
--- a/tests/daemon/quiet_wait_test.cpp
+++ b/tests/daemon/quiet_wait_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-// Guards against a daemon that stops while segments of callers wait unread in its socket.
+// Guards against a daemon that exits while segments of callers are still unread in its socket.
 Test(quietWait, unreadDatagramsAreNoQuiet)
 {
     boost::asio::io_context context;
--- a/tests/daemon/records_test.cpp
+++ b/tests/daemon/records_test.cpp
@@ -34,8 +34,8 @@
 constexpr std::size_t Closes = 400;
 constexpr Duration LatestClose = 1ms;
 
-/// \brief Runs the loop for a span that grows from round to round, so that the close which follows
-/// comes at each moment of an exchange.
+/// \brief Runs the event loop for a time that grows with each round, so that the close which
+/// follows hits each moment of an exchange.
 void runUntilClose(boost::asio::io_context &context, std::size_t round)
 {
     const auto span = LatestClose * round / Closes;
@@ -51,7 +51,7 @@
 
 } // namespace
 
-// Guards against a client's close that waits for ever, where an answer arrives at that moment.
+// Guards against closing a client that hangs when an answer arrives at the same moment.
 Test(records, aClientClosesAtAnyMomentOfAnExchange, .timeout = 30)
 {
     boost::asio::io_context context;
@@ -66,7 +66,7 @@
     runUntil(context, answers, Closes);
 }
 
-// Guards against a server's close that waits for ever, where a request arrives at that moment.
+// Guards against closing a server that hangs when a request arrives at the same moment.
 Test(records, aServerClosesAtAnyMomentOfAnExchange, .timeout = 30)
 {
     boost::asio::io_context context;
--- a/tests/daemon/restartable_timer_test.cpp
+++ b/tests/daemon/restartable_timer_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-// Guards against a handler of a wait that has been replaced, and acts on what replaced it.
+// Guards against a replaced wait whose handler still runs and acts on the new wait.
 Test(restartableTimer, aWaitThatWasReplacedCallsNobody)
 {
     boost::asio::io_context context;
@@ -28,7 +28,7 @@
     cr_assert_eq(newest, 1);
 }
 
-// Guards against a part that was stopped and goes on all the same.
+// Guards against a cancelled wait whose handler still runs, so that a stopped component continues.
 Test(restartableTimer, aWaitThatWasCancelledCallsNobody)
 {
     boost::asio::io_context context;
