--- a/src/daemon/daemon_callbacks.cpp
+++ b/src/daemon/daemon_callbacks.cpp
@@ -15,14 +15,14 @@
 
 [[nodiscard]] double imbalanceOf(const std::vector<TargetStatus> &targets)
 {
-    double most = 0;
+    double highest = 0;
     double sum = 0;
     for (const TargetStatus &target : targets) {
         const double held = target.running + target.waiting;
-        most = std::max(most, held);
+        highest = std::max(highest, held);
         sum += held;
     }
-    return sum > 0 ? most * static_cast<double>(targets.size()) / sum : 0;
+    return sum > 0 ? highest * static_cast<double>(targets.size()) / sum : 0;
 }
 
 [[nodiscard]] std::size_t aliveIn(const View &view)
--- a/src/daemon/settings/object_reader.cpp
+++ b/src/daemon/settings/object_reader.cpp
@@ -151,9 +151,9 @@
 {
     for (const auto &entry : m_object) {
         const std::string_view key{entry.key()};
-        if (std::find(m_known.begin(), m_known.end(), key) != m_known.end())
+        if (std::find(m_knownKeys.begin(), m_knownKeys.end(), key) != m_knownKeys.end())
             continue;
-        const std::string nearest = nearestOf(m_known, key);
+        const std::string nearest = nearestOf(m_knownKeys, key);
         addFinding(key, nearest.empty() ? "unknown key"
                                         : "unknown key; did you mean \"" + nearest + "\"?");
     }
@@ -161,7 +161,7 @@
 
 const boost::json::value *ObjectReader::find(std::string_view key, Presence presence)
 {
-    m_known.emplace_back(key);
+    m_knownKeys.emplace_back(key);
     const boost::json::value *found = m_object.if_contains(key);
     if (!found && presence == Presence::Required)
         addFinding(key, "is missing");
--- a/src/daemon/settings/object_reader.h
+++ b/src/daemon/settings/object_reader.h
@@ -110,7 +110,7 @@
     const boost::json::object &m_object;
     std::string m_path;
     Findings &m_findings;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_knownKeys;
 };
 
 } // namespace baobabtrail::daemon
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -332,11 +332,11 @@
     options.allow_trailing_commas = true;
     boost::json::parser parser{{}, options};
     boost::system::error_code error;
-    const std::size_t taken = parser.write_some(text.data(), text.size(), error);
+    const std::size_t consumed = parser.write_some(text.data(), text.size(), error);
     if (error)
-        return Findings{syntaxFinding(text, taken, error)};
-    if (text.find_first_not_of(" \t\r\n", taken) != std::string_view::npos)
-        return Findings{syntaxFinding(text, taken, boost::json::error::extra_data)};
+        return Findings{syntaxFinding(text, consumed, error)};
+    if (text.find_first_not_of(" \t\r\n", consumed) != std::string_view::npos)
+        return Findings{syntaxFinding(text, consumed, boost::json::error::extra_data)};
 
     boost::json::value root = parser.release();
     if (!root.is_object())
--- a/src/daemon/supervisor/supervisor.cpp
+++ b/src/daemon/supervisor/supervisor.cpp
@@ -56,7 +56,7 @@
         = [this, index, run, epoch = m_epoch, started = *m_epoch](const std::string &why) {
               if (*epoch != started)
                   return;
-              later(Duration::zero(), [this, index, run, why] { childFailed(index, run, why); });
+              schedule(Duration::zero(), [this, index, run, why] { childFailed(index, run, why); });
           };
     try {
         slot.child.start(report);
@@ -93,7 +93,7 @@
     }
     const Duration delay = delayAfter(slot.failures.size());
     m_runtime.failed(slot.child.name, why, delay);
-    later(delay, [this, index] { startChild(index); });
+    schedule(delay, [this, index] { startChild(index); });
 }
 
 void Supervisor::giveUp(const std::string &why)
@@ -111,7 +111,7 @@
     return std::min(delay, m_policy.maxDelay);
 }
 
-void Supervisor::later(Duration delay, std::function<void()> call)
+void Supervisor::schedule(Duration delay, std::function<void()> call)
 {
     m_runtime.after(delay, [epoch = m_epoch, started = *m_epoch, call = std::move(call)] {
         if (*epoch == started)
--- a/src/daemon/supervisor/supervisor.h
+++ b/src/daemon/supervisor/supervisor.h
@@ -79,7 +79,7 @@
     [[nodiscard]] Duration delayAfter(std::size_t failures) const noexcept;
     /// \brief Schedules \a call, to be skipped if this supervisor is stopped or destroyed before
     /// then.
-    void later(Duration delay, std::function<void()> call);
+    void schedule(Duration delay, std::function<void()> call);
 
     std::string m_name;
     RestartPolicy m_policy;
