--- a/tests/daemon/quiet_wait_test.cpp
+++ b/tests/daemon/quiet_wait_test.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 // Guards against a daemon that exits while segments of callers are still unread in its socket.
-Test(quietWait, unreadDatagramsAreNoQuiet)
+Test(quietWait, unreadDatagramsExtendTheWait)
 {
     boost::asio::io_context context;
     udp::socket receiver{context, {boost::asio::ip::address_v4::loopback(), 0}};
--- a/tests/daemon/restartable_timer_test.cpp
+++ b/tests/daemon/restartable_timer_test.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 // Guards against a replaced wait whose handler still runs and acts on the new wait.
-Test(restartableTimer, aWaitThatWasReplacedCallsNobody)
+Test(restartableTimer, replacedWaitIsNotCalled)
 {
     boost::asio::io_context context;
     RestartableTimer first{context};
@@ -29,7 +29,7 @@
 }
 
 // Guards against a cancelled wait whose handler still runs, so that a stopped component continues.
-Test(restartableTimer, aWaitThatWasCancelledCallsNobody)
+Test(restartableTimer, cancelledWaitIsNotCalled)
 {
     boost::asio::io_context context;
     RestartableTimer first{context};
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -68,8 +68,8 @@
     return findings ? *findings : Findings{};
 }
 
-[[nodiscard]] bool holds(const Findings &findings, const std::string &place,
-                         const std::string &text)
+[[nodiscard]] bool contains(const Findings &findings, const std::string &place,
+                            const std::string &text)
 {
     return std::any_of(findings.begin(), findings.end(), [&](const Finding &finding) {
         return finding.place == place && finding.text.find(text) != std::string::npos;
@@ -96,7 +96,7 @@
 }
 
 // Guards against a newer release that rejects settings which an older one accepted.
-Test(settings, theOlderNameOfRecordsConnectionsIsRead)
+Test(settings, deprecatedNameOfRecordsConnectionsIsRead)
 {
     const ScratchDirectory scratch;
     const auto secret = scratch.write("secret", Secret, OwnerOnly);
@@ -135,7 +135,7 @@
         {"control.fanOut", "unknown key"},
     };
     for (const Finding &finding : expected)
-        cr_expect(holds(findings, finding.place, finding.text), "%s: %s", finding.place.c_str(),
+        cr_expect(contains(findings, finding.place, finding.text), "%s: %s", finding.place.c_str(),
                   finding.text.c_str());
     cr_assert_eq(findings.size(), expected.size());
 }
@@ -164,17 +164,18 @@
     for (const perms mode : {perms::group_read, perms::others_read, perms::group_write}) {
         const auto name = "secret" + std::to_string(static_cast<unsigned>(mode));
         const auto open = scratch.write(name, Secret, OwnerOnly | mode);
-        cr_expect(holds(findingsOf(settingsText(open)), "clusterSecretFile", "open to group"));
+        cr_expect(contains(findingsOf(settingsText(open)), "clusterSecretFile", "open to group"));
     }
     const auto shortSecret = scratch.write("short", "too short", OwnerOnly);
-    cr_expect(holds(findingsOf(settingsText(shortSecret)), "clusterSecretFile", "fewer than 32"));
     cr_expect(
-        holds(findingsOf(settingsText("/nowhere/secret")), "clusterSecretFile", "can't be opened"));
+        contains(findingsOf(settingsText(shortSecret)), "clusterSecretFile", "fewer than 32"));
+    cr_expect(contains(findingsOf(settingsText("/nowhere/secret")), "clusterSecretFile",
+                       "can't be opened"));
 }
 
 // The example settings get copied, so they must be valid. Only their secret files, which don't
 // exist on the test machine, may be reported.
-Test(settings, examplesLackNothingButTheirSecrets)
+Test(settings, examplesAreValidApartFromTheirSecrets)
 {
     const std::filesystem::path examples{BAOBABTRAIL_SOURCE_DIR "/examples"};
     std::size_t files = 0;
@@ -229,7 +230,7 @@
 
 // Experiments disable mechanisms by name. An unknown name must be reported: if it were ignored, the
 // experiment would measure the system with all mechanisms enabled.
-Test(settings, experimentsNameWhatTheyLeaveOut)
+Test(settings, experimentsDisableMechanismsByName)
 {
     const auto read = readAnySettings(directText(
         R"("overload": {"saturatedShare": 0.5, "mostWindow": 8},
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -133,7 +133,7 @@
     cr_assert_eq(healthy.starts, healthy.stops);
 }
 
-Test(supervisor, failuresOutsideTheWindowAreForgotten)
+Test(supervisor, failuresOutsideTheWindowAreIgnored)
 {
     VirtualClock clock;
     FakeChild failing;
