--- a/src/daemon/daemon_callbacks.cpp
+++ b/src/daemon/daemon_callbacks.cpp
@@ -37,7 +37,7 @@
 
 // Datagrams are dropped while a socket restarts; the cores handle that like loss in the network.
 
-TrafficPorts Daemon::trafficPorts()
+TrafficCallbacks Daemon::trafficCallbacks()
 {
     const auto sendBy = [](std::unique_ptr<UdpSocket> &socket) {
         return [&socket](const Endpoint &to, std::string bytes) {
@@ -45,38 +45,38 @@
                 socket->send(to, std::move(bytes));
         };
     };
-    TrafficPorts ports;
-    ports.toCaller = sendBy(m_dataSocket);
-    ports.toPeer = sendBy(m_peerSocket);
-    ports.toTarget = sendBy(m_peerSocket);
-    ports.openLink = [this](const OpenLink &action) {
+    TrafficCallbacks callbacks;
+    callbacks.toCaller = sendBy(m_dataSocket);
+    callbacks.toPeer = sendBy(m_peerSocket);
+    callbacks.toTarget = sendBy(m_peerSocket);
+    callbacks.openLink = [this](const OpenLink &action) {
         if (m_links)
             m_links->open(action);
     };
-    ports.closeLink = [this](const CloseLink &action) {
+    callbacks.closeLink = [this](const CloseLink &action) {
         if (m_links)
             m_links->close(action);
     };
-    ports.sendOnLink = [this](const SendOnLink &action) {
+    callbacks.sendOnLink = [this](const SendOnLink &action) {
         if (m_links)
             m_links->send(action);
     };
-    ports.propose = [this](const ProposeCommand &action) { propose(action); };
-    ports.notice = [this](const Notice &notice) { report(notice); };
-    ports.observe = [this](const Observation &seen) { m_metrics.workspaces().observe(seen); };
-    ports.stopped = [this] { trafficStopped(); };
-    return ports;
+    callbacks.propose = [this](const ProposeCommand &action) { propose(action); };
+    callbacks.notice = [this](const Notice &notice) { report(notice); };
+    callbacks.observe = [this](const Observation &seen) { m_metrics.workspaces().observe(seen); };
+    callbacks.stopped = [this] { trafficStopped(); };
+    return callbacks;
 }
 
-ControlPorts Daemon::controlPorts()
+ControlCallbacks Daemon::controlCallbacks()
 {
-    ControlPorts ports;
-    ports.toPeer = [this](const Endpoint &to, std::string bytes) {
+    ControlCallbacks callbacks;
+    callbacks.toPeer = [this](const Endpoint &to, std::string bytes) {
         if (m_peerSocket)
             m_peerSocket->send(to, std::move(bytes));
     };
-    ports.fetch
-        = [this](const Endpoint &peer, const std::string &request, ControlPorts::Answer done) {
+    callbacks.fetch
+        = [this](const Endpoint &peer, const std::string &request, ControlCallbacks::Answer done) {
               if (!m_recordsClient) {
                   boost::asio::post(m_context, [done = std::move(done)] { done(std::nullopt); });
                   return;
@@ -88,17 +88,17 @@
                       done(std::move(answer));
                   });
           };
-    ports.platform
+    callbacks.platform
         = [this](const PlatformRequest &request, std::function<void(PlatformResult)> done) {
               callPlatform(request, std::move(done));
           };
-    ports.publishConfig = [this](const ConfigPtr &config) { publish(config); };
-    ports.publishView = [this](const ViewPtr &view) {
+    callbacks.publishConfig = [this](const ConfigPtr &config) { publish(config); };
+    callbacks.publishView = [this](const ViewPtr &view) {
         if (m_traffic)
             m_traffic->handle(ViewChanged{view});
     };
-    ports.notice = [this](const Notice &notice) { report(notice); };
-    return ports;
+    callbacks.notice = [this](const Notice &notice) { report(notice); };
+    return callbacks;
 }
 
 language::Backend Daemon::backend()
--- a/src/daemon/daemon_supervisors.cpp
+++ b/src/daemon/daemon_supervisors.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void Daemon::buildTree()
+void Daemon::buildSupervisors()
 {
     addNetwork();
     addCore();
@@ -100,13 +100,13 @@
 void Daemon::startTrafficCore(const FailureHandler &failed)
 {
     m_traffic = std::make_unique<TrafficRunner>(m_context, m_identity, m_settings.traffic, m_keys,
-                                                seedOf(m_identity), trafficPorts(), failed);
+                                                seedOf(m_identity), trafficCallbacks(), failed);
 }
 
 void Daemon::startControlCore(const FailureHandler &failed)
 {
     m_control = std::make_unique<ControlRunner>(m_context, m_identity, m_settings.control, m_keys,
-                                                ~seedOf(m_identity), controlPorts(), failed);
+                                                ~seedOf(m_identity), controlCallbacks(), failed);
     m_control->start();
 }
 
