--- a/tests/daemon/process_test.cpp
+++ b/tests/daemon/process_test.cpp
@@ -75,7 +75,7 @@
 };
 
 /// \return The whole reply; empty if the daemon does not answer.
-[[nodiscard]] std::string exchange(std::uint16_t port, const std::string &request)
+[[nodiscard]] std::string sendRequest(std::uint16_t port, const std::string &request)
 {
     boost::asio::io_context context;
     tcp::socket socket{context};
@@ -91,15 +91,15 @@
 
 [[nodiscard]] std::string get(std::uint16_t port, const std::string &path)
 {
-    return exchange(port, "GET " + path + " HTTP/1.0\r\n\r\n");
+    return sendRequest(port, "GET " + path + " HTTP/1.0\r\n\r\n");
 }
 
 [[nodiscard]] std::string execute(std::uint16_t port, const std::string &key)
 {
     const std::string body = R"({"text": "show revision"})";
-    return exchange(port, "POST /v1/execute HTTP/1.0\r\nAuthorization: Bearer " + key
-                              + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
-                              + body);
+    return sendRequest(port, "POST /v1/execute HTTP/1.0\r\nAuthorization: Bearer " + key
+                                 + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
+                                 + body);
 }
 
 void waitUntilHealthy(std::uint16_t port)
