--- a/src/daemon/direct/peer_http.cpp
+++ b/src/daemon/direct/peer_http.cpp
@@ -31,7 +31,7 @@
     call.request.prepare_payload();
     call.connectTimeout = timeouts.connect;
     call.timeout = timeouts.firstByte;
-    call.longest = timeouts.total;
+    call.totalTimeout = timeouts.total;
     call.repeatable = true;
     return call;
 }
--- a/src/daemon/records/records_http.cpp
+++ b/src/daemon/records/records_http.cpp
@@ -24,7 +24,7 @@
     call.request.body() = request;
     call.request.prepare_payload();
     call.timeout = timeout;
-    call.longest = timeout;
+    call.totalTimeout = timeout;
     call.repeatable = true;
     return call;
 }
--- a/src/daemon/settings/settings_reader.cpp
+++ b/src/daemon/settings/settings_reader.cpp
@@ -78,7 +78,7 @@
 {
     reader.endpoint("address", out.platform, Presence::Required);
     reader.duration("timeout", out.timeout, 10ms, 1min);
-    reader.duration("longestAnswer", out.longestAnswer, 0s, 10min);
+    reader.duration("longestAnswer", out.maxAnswerTime, 0s, 10min);
 }
 
 void readAdministration(ObjectReader &reader, AdministrationSettings &out)
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -6,8 +6,8 @@
 
 /// Servers drop idle connections; a write sent on one that is about to be dropped has an unknown
 /// outcome. Below this age that is rare.
-constexpr auto LongestIdle = std::chrono::seconds{5};
-constexpr std::size_t MostIdle = 16;
+constexpr auto MaxIdleTime = std::chrono::seconds{5};
+constexpr std::size_t MaxIdle = 16;
 
 } // namespace
 
@@ -17,7 +17,7 @@
         return nullptr;
     Idle newest = std::move(m_idle.back());
     m_idle.pop_back();
-    if (std::chrono::steady_clock::now() - newest.since > LongestIdle) {
+    if (std::chrono::steady_clock::now() - newest.since > MaxIdleTime) {
         m_idle.clear();
         return nullptr;
     }
@@ -26,7 +26,7 @@
 
 void ConnectionPool::give(Connection connection)
 {
-    if (m_idle.size() >= MostIdle)
+    if (m_idle.size() >= MaxIdle)
         m_idle.erase(m_idle.begin());
     m_idle.push_back({std::move(connection), std::chrono::steady_clock::now()});
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,7 +1,7 @@
 #include "net/http_client.h"
 
 #include "net/impl/connection_pool.h"
-#include "net/impl/liveness.h"
+#include "net/impl/tcp_keepalive.h"
 
 #include <boost/asio/post.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -32,7 +32,7 @@
 constexpr std::chrono::milliseconds LongestPause{800};
 
 /// Servers whose connections are kept at once.
-constexpr std::size_t MostServers = 64;
+constexpr std::size_t MaxServers = 64;
 
 /// \brief What the calls of one client share.
 struct Shared
@@ -51,7 +51,8 @@
         , m_call(std::move(call))
         , m_done(std::move(done))
         , m_deadline(Clock::now() + m_call.timeout)
-        , m_latest(m_call.longest > Duration{0} ? Clock::now() + m_call.longest : m_deadline)
+        , m_totalDeadline(m_call.totalTimeout > Duration{0} ? Clock::now() + m_call.totalTimeout
+                                                            : m_deadline)
     {
     }
 
@@ -91,7 +92,7 @@
                 self->fail("can't connect", error);
                 return;
             }
-            impl::detectSilence(self->m_connection->socket().native_handle());
+            impl::enableTcpKeepAlive(self->m_connection->socket().native_handle());
             self->send();
         });
     }
@@ -111,7 +112,7 @@
     void receive()
     {
         m_parser.emplace();
-        m_parser->body_limit(m_call.mostBytes > 0 ? m_call.mostBytes : MaxResponseBytes);
+        m_parser->body_limit(m_call.maxBodyBytes > 0 ? m_call.maxBodyBytes : MaxResponseBytes);
         m_parser->eager(true); // Takes the body too as it comes.
         m_received = 0;
         receiveSome();
@@ -137,7 +138,7 @@
         } else if (m_parser->is_done()) {
             finish();
         } else {
-            m_connection->expires_at(std::min(Clock::now() + pause(), m_latest));
+            m_connection->expires_at(std::min(Clock::now() + pause(), m_totalDeadline));
             receiveSome();
         }
     }
@@ -192,7 +193,7 @@
 
     [[nodiscard]] impl::ConnectionPool &idle()
     {
-        if (m_shared->idle.size() > MostServers)
+        if (m_shared->idle.size() > MaxServers)
             m_shared->idle.clear(); // Of servers that are gone by now; the others connect anew.
         return m_shared->idle[m_call.server];
     }
@@ -200,8 +201,8 @@
     std::shared_ptr<Shared> m_shared;
     HttpCall m_call;
     HttpClient::Handler m_done;
-    Clock::time_point m_deadline; ///< The response has to have begun.
-    Clock::time_point m_latest;   ///< It has to have ended.
+    Clock::time_point m_deadline;      ///< The response has to have begun.
+    Clock::time_point m_totalDeadline; ///< It has to have ended.
     std::uint64_t m_received = 0;
     impl::Connection m_connection;
     bool m_reused = false;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -41,7 +41,8 @@
     Duration connectTimeout{0};
     /// From the call to the end of the response; 0 where it has to be whole within the timeout.
     Duration longest{0};
-    std::uint64_t mostBytes = 0; ///< Of the response's body; 0 for a bound that none should meet.
+    std::uint64_t maxBodyBytes
+        = 0; ///< Of the response's body; 0 for a bound that none should meet.
     /// May be sent once more where a connection that was kept turns out to be dropped.
     bool repeatable = false;
 };
--- a/src/net/impl/liveness.h
+++ b/src/net/impl/tcp_keepalive.h
@@ -9,6 +9,6 @@
 /// its whole wait, and a drained target would go on getting flows. Probes end it within three
 /// seconds, with no call to the store.
 /// \param socket A connected TCP socket.
-void detectSilence(int socket) noexcept;
+void enableTcpKeepAlive(int socket) noexcept;
 
 } // namespace baobabtrail::impl
--- a/src/net/liveness.cpp
+++ b/src/net/tcp_keepalive.cpp
@@ -1,4 +1,4 @@
-#include "net/impl/liveness.h"
+#include "net/impl/tcp_keepalive.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void detectSilence(int socket) noexcept
+void enableTcpKeepAlive(int socket) noexcept
 {
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, IdleSeconds);
--- a/src/net/try_connection.cpp
+++ b/src/net/try_connection.cpp
@@ -14,7 +14,7 @@
 
 /// A timer that is later than this says that the process stood still, and that an answer may have
 /// come that nobody has looked at.
-constexpr Duration LatestTimer = 50ms;
+constexpr Duration MaxTimerDelay = 50ms;
 
 /// \brief One try; lives until both its timer and its connect have ended.
 struct Try : std::enable_shared_from_this<Try>
@@ -34,7 +34,7 @@
                 return;
             const Duration late = std::chrono::duration_cast<Duration>(
                 std::chrono::steady_clock::now() - self->timer.expiry());
-            self->end(late > LatestTimer ? Connected::Unsure : Connected::No);
+            self->end(late > MaxTimerDelay ? Connected::Unsure : Connected::No);
         });
         const tcp::endpoint endpoint{boost::asio::ip::address_v4{server.address}, server.port};
         socket.async_connect(endpoint,
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -40,8 +40,8 @@
     call.server = m_settings.platform;
     call.request = platform::toHttp(request, m_settings.platform);
     call.timeout = m_settings.timeout + extraWait(request);
-    call.longest = call.timeout + m_settings.longestAnswer;
-    call.mostBytes = maxBytes(request);
+    call.totalTimeout = call.timeout + m_settings.maxAnswerTime;
+    call.maxBodyBytes = maxBytes(request);
     call.repeatable = platform::isRead(request);
     m_http.call(std::move(call), [request, done = std::move(done)](const HttpResult &result) {
         const auto *failure = std::get_if<HttpFailure>(&result);
--- a/tests/http-client/slow_answer_test.cpp
+++ b/tests/http-client/slow_answer_test.cpp
@@ -96,7 +96,7 @@
     call.server = server.address();
     call.request = {boost::beast::http::verb::get, "/", 11};
     call.timeout = Timeout;
-    call.longest = longest;
+    call.totalTimeout = longest;
     std::optional<HttpResult> result;
     client.call(std::move(call), [&result](HttpResult given) { result = std::move(given); });
     while (!result && context.run_one() > 0) {
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -176,7 +176,7 @@
                                return;
                            const Duration passing = occupy(index, sizeOf(result));
                            // One that goes on arriving is waited for, as the product's client does.
-                           constexpr Duration longest = PlatformClientSettings{}.longestAnswer;
+                           constexpr Duration longest = PlatformClientSettings{}.maxAnswerTime;
                            const bool late = passing > longest;
                            const PlatformResult seen
                                = late ? PlatformFailure{"no answer"} : PlatformResult{result};
