--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -29,7 +29,7 @@
 
 /// Longest time without a byte of a response that has begun: a lost packet comes again after 200
 /// ms, and once more after 400; a server that died within it costs no more than this.
-constexpr std::chrono::milliseconds LongestPause{800};
+constexpr std::chrono::milliseconds MaxPause{800};
 
 /// Servers whose connections are kept at once.
 constexpr std::size_t MaxServers = 64;
@@ -146,7 +146,7 @@
     /// \return The longest time without a byte, once the response has begun.
     [[nodiscard]] Clock::duration pause() const
     {
-        return std::min<Clock::duration>(m_call.timeout, LongestPause);
+        return std::min<Clock::duration>(m_call.timeout, MaxPause);
     }
 
     void finish()
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -40,7 +40,7 @@
     /// cut off never does, one that is busy does at once.
     Duration connectTimeout{0};
     /// From the call to the end of the response; 0 where it has to be whole within the timeout.
-    Duration longest{0};
+    Duration totalTimeout{0};
     std::uint64_t maxBodyBytes
         = 0; ///< Of the response's body; 0 for a bound that none should meet.
     /// May be sent once more where a connection that was kept turns out to be dropped.
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -16,7 +16,7 @@
     Duration timeout = 3s;
     /// Until its end, on top of that: a page of a megabyte over a link of 2 Mbit/s that carries as
     /// much again of something else.
-    Duration longestAnswer = 9s;
+    Duration maxAnswerTime = 9s;
 };
 
 /// \brief Calls the platform's object store and VM list over HTTP. Never throws for what the
