--- a/tests/adapter/object_test.cpp
+++ b/tests/adapter/object_test.cpp
@@ -22,23 +22,23 @@
 // Another writer leaves an entry whose bytes are no UTF-8, one without content, and one that is
 // nested deeply. Taken for the failure of the whole list, each would keep every daemon from
 // starting, and from hearing of any further change, for as long as the entry stays.
-Test(objects, oneSpoiltEntryDoesNotSpoilItsList)
+Test(objects, malformedEntryDoesNotFailItsList)
 {
     const std::string deep = std::string(60, '[') + std::string(60, ']');
-    for (const std::string &spoilt :
+    for (const std::string &malformed :
          {std::string{R"({"meta":{"name":"i-2","revision":6},"spec":{"service":")"} + "\xff\xc0"
               + R"("}})",
           std::string{R"({"meta":{"name":"i-2","revision":6}})"},
           R"({"meta":{"name":"i-2","revision":6},"spec":)" + deep + "}"}) {
-        const PlatformResult result = listOf(spoilt + "," + Good);
+        const PlatformResult result = listOf(malformed + "," + Good);
         const auto *list = std::get_if<ObjectList>(&result);
-        cr_assert(list && list->objects.size() == 2, "%s", spoilt.c_str());
+        cr_assert(list && list->objects.size() == 2, "%s", malformed.c_str());
         cr_assert_eq(list->objects.back().value, R"({"service":"x"})");
     }
 }
 
 // A page that may be old costs the store a fraction, and only where the query says so.
-Test(objects, aPageThatMayBeOldIsAskedForAsSuch)
+Test(objects, staleListIsRequestedAsSerializable)
 {
     const Endpoint store{0x0A0B0001U, 8169};
     ListObjects list{"targets/", "targets/i-1", 100};
--- a/tests/adapter/packet_test.cpp
+++ b/tests/adapter/packet_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-Test(packets, thePagesExampleIsRead)
+Test(packets, examplePacketIsRead)
 {
     const ReadPacket packet = readPacket(Opening);
     cr_assert(packet.error == PacketError::None);
@@ -31,12 +31,12 @@
     cr_assert(packet.segment.opens && !packet.segment.finishes && !packet.segment.aborts);
 }
 
-Test(packets, thePagesResetIsMade)
+Test(packets, exampleResetIsMade)
 {
     cr_assert(abortPacket(readPacket(Opening).segment.flow, 0) == Reset);
 }
 
-Test(packets, aTargetIsNamedAndOnlyTheLabelChanges)
+Test(packets, packetForTargetGetsTargetIdAndLabel)
 {
     const std::string bytes = Opening + "";
     const std::string sent = toTarget(bytes, TargetId{0x7f3a91c2}, FlowLabel{0xDEADBEEF});
@@ -48,7 +48,7 @@
     cr_assert(readPacket(sent.substr(8)).segment.label == FlowLabel{0xDEADBEEF});
 }
 
-Test(packets, whatIsNoPacketIsRefused)
+Test(packets, invalidPacketsAreRejected)
 {
     cr_assert(readPacket("").error == PacketError::TooShort);
     cr_assert(readPacket(Opening.substr(0, 31)).error == PacketError::TooShort);
@@ -58,7 +58,7 @@
     cr_assert(readPacket(answer).error == PacketError::ForgedSource);
 }
 
-Test(packets, noBytesOfAnyKindDoHarm)
+Test(packets, mutatedPacketsDoNoHarm)
 {
     Random random{7};
     for (int round = 0; round < 20000; ++round) {
--- a/tests/adapter/registry_test.cpp
+++ b/tests/adapter/registry_test.cpp
@@ -98,7 +98,7 @@
 }
 
 // What an operator promises callers decides who waits and who goes first past saturation.
-Test(registry, promisesOfRoutesAreRead)
+Test(registry, routePoliciesAreRead)
 {
     const auto result = readRoutes({"routes/main", Config, ObjectVersion{1}});
     const RouteTable &table = std::get<RouteTable>(result);
@@ -124,7 +124,7 @@
 }
 
 // A target starts again under its id. Only the time of its start tells the two apart.
-Test(registry, theStartOfATargetIsRead)
+Test(registry, startTimeOfTargetIsRead)
 {
     std::string text = Target;
     text.insert(1, R"("born":1780000000123,)");
@@ -138,9 +138,9 @@
 
 // Another writer replaces a target's registration by something of its own. Whatever is missing or
 // of another type there, the target must not be used, and the line has to name the field.
-Test(registry, anEntryThatIsNotWholeNamesNoTarget)
+Test(registry, incompleteRegistrationIsRejected)
 {
-    const std::pair<std::string, std::string> spoilt[]{
+    const std::pair<std::string, std::string> malformed[]{
         {R"("service":"x",)", ""},
         {R"("service":"x")", R"("service":7)"},
         {R"("zone":"alx-raml",)", ""},
@@ -151,7 +151,7 @@
         {R"("version":"v1",)", ""},
         {R"(,"seq":4)", ""},
         {R"(,"seq":4)", R"(,"seq":[4])"}};
-    for (const auto &[from, to] : spoilt) {
+    for (const auto &[from, to] : malformed) {
         std::string text = Target;
         text.replace(text.find(from), from.size(), to);
         const auto result = readTarget({"targets/i-1", text, ObjectVersion{1}});
--- a/tests/http-client/slow_answer_test.cpp
+++ b/tests/http-client/slow_answer_test.cpp
@@ -109,7 +109,7 @@
 
 // A large answer comes over a thin link: twice as long as its server may be silent, but it moves
 // all the while. It is taken; given up, it would be as late from any other server.
-Test(httpClient, anAnswerThatMovesIsWaitedFor)
+Test(httpClient, slowAnswerIsReceivedWhole)
 {
     boost::asio::io_context context{1};
     const SlowServer server{context};
@@ -120,7 +120,7 @@
 }
 
 // The same, from a caller that allows no more than the timeout for all of it.
-Test(httpClient, anAnswerMayBeBounded)
+Test(httpClient, totalTimeoutBoundsTheAnswer)
 {
     boost::asio::io_context context{1};
     const SlowServer server{context};
@@ -133,7 +133,7 @@
 
 // The server dies in the middle of its answer. The caller is told within the timeout, not at the
 // end of the longest time, and how much came.
-Test(httpClient, anAnswerThatStopsIsGivenUp)
+Test(httpClient, stalledAnswerTimesOut)
 {
     constexpr std::size_t sent = 5;
     boost::asio::io_context context{1};
--- a/tests/platform/client_test.cpp
+++ b/tests/platform/client_test.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint32_t Loopback = 0x7f000001;
 
 /// \brief The platform stand-in and a client of it.
-struct Bench
+struct Fixture
 {
     Process platform{"standin-platform", {}};
     Endpoint address{Loopback, platform.ports().at("http")};
@@ -76,51 +76,51 @@
 
 Test(platformClient, writesAreConditional)
 {
-    Bench bench;
-    const auto created = bench.expect<Written>(CreateObject{"config/log/1 a", "one"});
-    bench.expect<WriteConflict>(CreateObject{"config/log/1 a", "two"});
+    Fixture fixture;
+    const auto created = fixture.expect<Written>(CreateObject{"config/log/1 a", "one"});
+    fixture.expect<WriteConflict>(CreateObject{"config/log/1 a", "two"});
     const auto updated
-        = bench.expect<Written>(UpdateObject{"config/log/1 a", "three", created.version});
+        = fixture.expect<Written>(UpdateObject{"config/log/1 a", "three", created.version});
     cr_assert_gt(updated.version.value(), created.version.value());
-    bench.expect<WriteConflict>(UpdateObject{"config/log/1 a", "four", created.version});
+    fixture.expect<WriteConflict>(UpdateObject{"config/log/1 a", "four", created.version});
 
-    const auto object = bench.expect<StoredObject>(ReadObject{"config/log/1 a"});
+    const auto object = fixture.expect<StoredObject>(ReadObject{"config/log/1 a"});
     cr_assert(object.value == "three" && object.version == updated.version);
-    bench.expect<Written>(DeleteObject{"config/log/1 a"});
-    bench.expect<ObjectMissing>(ReadObject{"config/log/1 a"});
+    fixture.expect<Written>(DeleteObject{"config/log/1 a"});
+    fixture.expect<ObjectMissing>(ReadObject{"config/log/1 a"});
 }
 
 Test(platformClient, listsAndWatchesByPrefix)
 {
-    Bench bench;
+    Fixture fixture;
     const std::string binary{"\0\xff\x80 &=%", 7};
     for (const char *key : {"a/1", "b/1", "b/2", "b/3", "c/1"})
-        bench.expect<Written>(CreateObject{key, binary});
-    const auto page = bench.expect<ObjectList>(ListObjects{"b/", "b/1", 1});
+        fixture.expect<Written>(CreateObject{key, binary});
+    const auto page = fixture.expect<ObjectList>(ListObjects{"b/", "b/1", 1});
     cr_assert_eq(page.objects.size(), 1);
     cr_assert(page.objects.front().key == "b/2" && page.objects.front().value == binary);
 
-    const auto all = bench.expect<ObjectList>(WatchObjects{"b/", ObjectVersion{1}, 10s});
+    const auto all = fixture.expect<ObjectList>(WatchObjects{"b/", ObjectVersion{1}, 10s});
     cr_assert_eq(all.objects.size(), 3);
-    const auto none = bench.expect<ObjectList>(WatchObjects{"b/", all.latest, 20ms});
+    const auto none = fixture.expect<ObjectList>(WatchObjects{"b/", all.latest, 20ms});
     cr_assert(none.objects.empty());
 
     std::optional<PlatformResult> watched;
-    bench.client.call(WatchObjects{"b/", all.latest, 10s},
-                      [&watched](PlatformResult r) { watched = std::move(r); });
-    bench.expect<Written>(CreateObject{"b/4", "new"});
+    fixture.client.call(WatchObjects{"b/", all.latest, 10s},
+                        [&watched](PlatformResult r) { watched = std::move(r); });
+    fixture.expect<Written>(CreateObject{"b/4", "new"});
     while (!watched)
-        bench.context.run_one();
+        fixture.context.run_one();
     cr_assert_eq(std::get<ObjectList>(*watched).objects.front().value, "new");
 }
 
 Test(platformClient, listsVms)
 {
-    Bench bench;
-    bench.control(boost::beast::http::verb::put, "vms/7",
-                  R"({"domain": "alx-raml", "address": "127.0.0.1:9001",
+    Fixture fixture;
+    fixture.control(boost::beast::http::verb::put, "vms/7",
+                    R"({"domain": "alx-raml", "address": "127.0.0.1:9001",
                       "records": "127.0.0.1:9002", "leaving": true})");
-    const auto list = bench.expect<VmList>(ListVms{});
+    const auto list = fixture.expect<VmList>(ListVms{});
     cr_assert_eq(list.vms.size(), 1);
     const VmEntry &vm = list.vms.front();
     cr_assert(vm.daemon == DaemonId{7} && vm.domain == "alx-raml" && vm.leaving);
@@ -133,12 +133,12 @@
 // would come back as a conflict with itself.
 Test(platformClient, lostReplyOfWriteIsFailureAndNotSentAgain)
 {
-    Bench bench;
-    bench.expect<ObjectMissing>(ReadObject{"x/1"}); // leaves a connection to reuse
-    bench.set(R"({"loseReplies": 1})");
-    bench.expect<PlatformFailure>(CreateObject{"x/1", "mine"});
-    cr_assert_eq(bench.expect<StoredObject>(ReadObject{"x/1"}).value, "mine");
-    const std::string counts = bench.control(boost::beast::http::verb::get, "counts", "");
+    Fixture fixture;
+    fixture.expect<ObjectMissing>(ReadObject{"x/1"}); // leaves a connection to reuse
+    fixture.set(R"({"loseReplies": 1})");
+    fixture.expect<PlatformFailure>(CreateObject{"x/1", "mine"});
+    cr_assert_eq(fixture.expect<StoredObject>(ReadObject{"x/1"}).value, "mine");
+    const std::string counts = fixture.control(boost::beast::http::verb::get, "counts", "");
     cr_assert_neq(counts.find("\"create\":1"), std::string::npos, "%s", counts.c_str());
 }
 
@@ -146,18 +146,18 @@
 // Each call still ends in a result within its time, and the next one works once the platform does.
 Test(platformClient, everyFaultEndsInResult)
 {
-    Bench bench;
-    bench.set(R"({"down": true})");
-    bench.expect<PlatformFailure>(ReadObject{"x/1"});
-    bench.set(R"({"down": false, "readsPerSecond": 1})");
-    bench.expect<ObjectMissing>(ReadObject{"x/1"});
-    cr_assert(bench.expect<PlatformFailure>(ReadObject{"x/1"}).retryAfter == 1s);
-    bench.set(R"({"readsPerSecond": 0, "slow": 1000000})");
-    bench.expect<PlatformFailure>(ReadObject{"x/1"});
-    bench.set(R"({"slow": 0, "silentWatch": true})");
-    bench.expect<PlatformFailure>(WatchObjects{"b/", ObjectVersion{1}, 10ms});
-    bench.set(R"({"silentWatch": false})");
-    bench.expect<ObjectMissing>(ReadObject{"x/1"});
+    Fixture fixture;
+    fixture.set(R"({"down": true})");
+    fixture.expect<PlatformFailure>(ReadObject{"x/1"});
+    fixture.set(R"({"down": false, "readsPerSecond": 1})");
+    fixture.expect<ObjectMissing>(ReadObject{"x/1"});
+    cr_assert(fixture.expect<PlatformFailure>(ReadObject{"x/1"}).retryAfter == 1s);
+    fixture.set(R"({"readsPerSecond": 0, "slow": 1000000})");
+    fixture.expect<PlatformFailure>(ReadObject{"x/1"});
+    fixture.set(R"({"slow": 0, "silentWatch": true})");
+    fixture.expect<PlatformFailure>(WatchObjects{"b/", ObjectVersion{1}, 10ms});
+    fixture.set(R"({"silentWatch": false})");
+    fixture.expect<ObjectMissing>(ReadObject{"x/1"});
 }
 
 // The platform closes the connections that it considers idle, in the moment in which one of them
@@ -198,43 +198,43 @@
 // The store compacts its history while a watch waits from an earlier version.
 // The same watch would be refused for ever; the caller has to learn that only a list tells the
 // state.
-Test(platformClient, watchOfForgottenHistorySaysSo)
+Test(platformClient, watchOfCompactedHistoryIsReported)
 {
-    Bench bench;
-    const auto written = bench.expect<Written>(CreateObject{"b/1", "one"});
-    bench.expect<Written>(CreateObject{"b/2", "two"});
-    bench.control(boost::beast::http::verb::post, "compact", "");
-    bench.expect<HistoryCompacted>(WatchObjects{"b/", written.version, 10ms});
-    const auto list = bench.expect<ObjectList>(ListObjects{"b/", "b/"});
+    Fixture fixture;
+    const auto written = fixture.expect<Written>(CreateObject{"b/1", "one"});
+    fixture.expect<Written>(CreateObject{"b/2", "two"});
+    fixture.control(boost::beast::http::verb::post, "compact", "");
+    fixture.expect<HistoryCompacted>(WatchObjects{"b/", written.version, 10ms});
+    const auto list = fixture.expect<ObjectList>(ListObjects{"b/", "b/"});
     cr_assert_eq(list.objects.size(), 2);
-    bench.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms});
+    fixture.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms});
 }
 
 // An object is written again and again while nobody watches. The watch that follows would bring
 // each of these versions; its caller is told so before they travel, and lists the newest.
-Test(platformClient, watchThatWouldBringTooMuchSaysSo)
+Test(platformClient, tooLargeWatchAnswerIsReported)
 {
     constexpr int versions = 20;
     constexpr std::uint64_t most = 5000;
-    Bench bench;
-    const auto first = bench.expect<Written>(CreateObject{"b/1", "one"});
+    Fixture fixture;
+    const auto first = fixture.expect<Written>(CreateObject{"b/1", "one"});
     auto last = first;
     for (int version = 0; version < versions; ++version)
-        last = bench.expect<Written>(
+        last = fixture.expect<Written>(
             UpdateObject{"b/1", std::string(400, static_cast<char>('a' + version)), last.version});
-    bench.expect<WatchAnswerTooLarge>(WatchObjects{"b/", first.version, 10ms, most});
-    const auto list = bench.expect<ObjectList>(ListObjects{"b/", "b/"});
+    fixture.expect<WatchAnswerTooLarge>(WatchObjects{"b/", first.version, 10ms, most});
+    const auto list = fixture.expect<ObjectList>(ListObjects{"b/", "b/"});
     cr_assert_eq(list.objects.at(0).value.back(), 'a' + versions - 1);
-    bench.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms, most});
+    fixture.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms, most});
 }
 
-Test(platformClient, watchTellsWhatIsGone)
+Test(platformClient, watchReportsDeletedObjects)
 {
-    Bench bench;
-    const auto written = bench.expect<Written>(CreateObject{"b/1", "one"});
-    bench.expect<Written>(CreateObject{"b/2", "two"});
-    bench.expect<Written>(DeleteObject{"b/1"});
-    const auto changes = bench.expect<ObjectList>(WatchObjects{"b/", written.version, 10s});
+    Fixture fixture;
+    const auto written = fixture.expect<Written>(CreateObject{"b/1", "one"});
+    fixture.expect<Written>(CreateObject{"b/2", "two"});
+    fixture.expect<Written>(DeleteObject{"b/1"});
+    const auto changes = fixture.expect<ObjectList>(WatchObjects{"b/", written.version, 10s});
     cr_assert_eq(changes.objects.size(), 1);
     cr_assert_eq(changes.objects.front().key, "b/2");
     cr_assert_eq(changes.removed.size(), 1);
