--- a/tests/adapter/object_test.cpp
+++ b/tests/adapter/object_test.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-// Another writer leaves an entry whose bytes are no UTF-8, one without content, and one that is
-// nested deeply. Taken for the failure of the whole list, each would keep every daemon from
-// starting, and from hearing of any further change, for as long as the entry stays.
+// Another writer stores an entry that is not valid UTF-8, one without content, and one that is
+// deeply nested. If such an entry failed the whole list, no daemon could start or learn of further
+// changes for as long as the entry exists.
 Test(objects, malformedEntryDoesNotFailItsList)
 {
     const std::string deep = std::string(60, '[') + std::string(60, ']');
@@ -37,7 +37,8 @@
     }
 }
 
-// A page that may be old costs the store a fraction, and only where the query says so.
+// A stale list costs the store a fraction of a consistent one. The query has to ask for it
+// explicitly, and only where the caller allows it.
 Test(objects, staleListIsRequestedAsSerializable)
 {
     const Endpoint store{0x0A0B0001U, 8169};
--- a/tests/adapter/packet_test.cpp
+++ b/tests/adapter/packet_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::string_literals;
 
-// The example of the platform's page: a SYN from 100.64.0.7:40001 to 198.18.0.1:443.
+// The example in the platform's documentation: a SYN from 100.64.0.7:40001 to 198.18.0.1:443.
 const std::string Opening
     = "\x11\x22\x33\x44\x00\x00\x00\x00\xa1\xb2\xc3\xd5\x00\x00\x00\x00\x64\x40\x00\x07"
       "\xc6\x12\x00\x01\x01\xbb\x9c\x41\x80\x00\x00\x00"s;
@@ -54,7 +54,7 @@
     cr_assert(readPacket(Opening.substr(0, 31)).error == PacketError::TooShort);
     cr_assert(readPacket(Opening + "x").error == PacketError::WrongLength);
     std::string answer = Opening;
-    answer[28] = static_cast<char>(0x88); // SYN and ACK: only targets send that.
+    answer[28] = static_cast<char>(0x88); // SYN and ACK: only targets send both.
     cr_assert(readPacket(answer).error == PacketError::ForgedSource);
 }
 
--- a/tests/adapter/registry_test.cpp
+++ b/tests/adapter/registry_test.cpp
@@ -45,8 +45,8 @@
     cr_assert_eq(table.serviceNames.at(plain->shares.front().service), "y");
 }
 
-// The store holds a configuration with a mistake. What was in force has to stay, and the log
-// has to name the place of the mistake.
+// The store holds a configuration with a mistake. It must be rejected as a whole, so that the one
+// in force stays, and the finding has to name the place of the mistake for the log.
 Test(registry, mistakesInRoutesAreNamedByPlace)
 {
     cr_assert_eq(findingOf(Config, R"("service":"y","weight")", R"("service":"z","weight")").place,
@@ -97,7 +97,7 @@
     }
 }
 
-// What an operator promises callers decides who waits and who goes first past saturation.
+// The request policy of a route decides which requests wait and which go first past saturation.
 Test(registry, routePoliciesAreRead)
 {
     const auto result = readRoutes({"routes/main", Config, ObjectVersion{1}});
@@ -123,7 +123,7 @@
     cr_assert_eq(findingOf(Config, "\"idempotent\"", "3").place, "routes/main: routes[0].kind");
 }
 
-// A target starts again under its id. Only the time of its start tells the two apart.
+// A target restarts under the same id. Only its start time distinguishes the two processes.
 Test(registry, startTimeOfTargetIsRead)
 {
     std::string text = Target;
@@ -136,8 +136,8 @@
     cr_assert_eq(std::get<DirectoryFinding>(wrong).place, "targets/i-1: born");
 }
 
-// Another writer replaces a target's registration by something of its own. Whatever is missing or
-// of another type there, the target must not be used, and the line has to name the field.
+// Another writer overwrites a target's registration. Whichever field is missing or has another
+// type, the target must not be used, and the finding has to name the field.
 Test(registry, incompleteRegistrationIsRejected)
 {
     const std::pair<std::string, std::string> malformed[]{
