--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -20,7 +20,7 @@
     return watch ? watch->maxBytes : 0;
 }
 
-/// \return Words on how much came, where anything did.
+/// \return The part of an error message that says how many bytes were received, if any.
 [[nodiscard]] std::string after(std::uint64_t bytes)
 {
     return bytes == 0 ? std::string{} : ", after " + std::to_string(bytes) + " bytes";
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -12,18 +12,18 @@
 struct PlatformClientSettings
 {
     Endpoint platform;
-    /// Until the answer begins, for every call but a watch, which has its own wait on top.
+    /// Until the response begins; a watch adds its own wait to this.
     Duration timeout = 3s;
-    /// Until its end, on top of that: a page of a megabyte over a link of 2 Mbit/s that carries as
-    /// much again of something else.
+    /// Additional time until the response ends: enough for a page of 1 MB over a link of 2 Mbit/s
+    /// of which other traffic takes half.
     Duration maxAnswerTime = 9s;
 };
 
-/// \brief Calls the platform's object store and VM list over HTTP. Never throws for what the
-/// platform does: every call ends in a result.
+/// \brief Calls the platform's object store and VM list over HTTP.
 ///
-/// The calls and their forms on the wire are in platform/object_form.h. 429 and 503 may carry
-/// Retry-After in seconds.
+/// Does not throw for errors of the platform: every call ends in a result. Responses with status
+/// 429 and 503 may carry Retry-After in seconds. \see platform/object_form.h for the calls and
+/// their encoding.
 class PlatformClient
 {
 public:
@@ -31,7 +31,9 @@
 
     PlatformClient(boost::asio::io_context &context, PlatformClientSettings settings);
 
-    /// \param done Called once, from the io_context, never from within call().
+    /// \brief Starts a call.
+    /// \param done Called once with the result, from the io_context, never from within call(). Not
+    /// called if the client is destroyed first.
     void call(const PlatformRequest &request, Handler done);
 
 private:
--- a/tests/platform/client_test.cpp
+++ b/tests/platform/client_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::uint32_t Loopback = 0x7f000001;
 
-/// \brief The platform stand-in and a client of it.
+/// \brief A stand-in of the platform and a client connected to it.
 struct Fixture
 {
     Process platform{"standin-platform", {}};
@@ -128,13 +128,12 @@
     cr_assert_eq(toString(vm.records), "127.0.0.1:9002");
 }
 
-// An operator's change reaches the platform, and the reply is lost on the way back.
-// The write took effect; the client must not claim either way, nor send it a second time, which
-// would come back as a conflict with itself.
+// A write reaches the platform and takes effect, but its response is lost. The client must report
+// a failure with unknown outcome and must not retry: the retry would conflict with the first write.
 Test(platformClient, lostReplyOfWriteIsFailureAndNotSentAgain)
 {
     Fixture fixture;
-    fixture.expect<ObjectMissing>(ReadObject{"x/1"}); // leaves a connection to reuse
+    fixture.expect<ObjectMissing>(ReadObject{"x/1"}); // Leaves an idle connection to reuse.
     fixture.set(R"({"loseReplies": 1})");
     fixture.expect<PlatformFailure>(CreateObject{"x/1", "mine"});
     cr_assert_eq(fixture.expect<StoredObject>(ReadObject{"x/1"}).value, "mine");
@@ -142,8 +141,8 @@
     cr_assert_neq(counts.find("\"create\":1"), std::string::npos, "%s", counts.c_str());
 }
 
-// The platform is down, over its rate, slow, or its watch has died without a word.
-// Each call still ends in a result within its time, and the next one works once the platform does.
+// The platform is down, over its rate limit, slow, or its watch stopped silently. Each call has to
+// end in a result within its timeout, and the next one has to work once the platform does.
 Test(platformClient, everyFaultEndsInResult)
 {
     Fixture fixture;
@@ -160,8 +159,8 @@
     fixture.expect<ObjectMissing>(ReadObject{"x/1"});
 }
 
-// The platform closes the connections that it considers idle, in the moment in which one of them
-// is used again. A read must not fail for it.
+// The platform closes an idle connection at the moment at which a call reuses it. A read must not
+// fail because of that.
 Test(platformClient, readSurvivesDroppedIdleConnection)
 {
     namespace asio = boost::asio;
@@ -180,7 +179,7 @@
                     asio::write(*socket,
                                 asio::buffer(std::string{
                                     "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"}));
-                    serve(); // the socket closes here, though it promised to stay open
+                    serve(); // Closes the socket, although HTTP/1.1 implies keep-alive.
                 });
         });
     };
@@ -195,9 +194,8 @@
     cr_assert_eq(served, 3);
 }
 
-// The store compacts its history while a watch waits from an earlier version.
-// The same watch would be refused for ever; the caller has to learn that only a list tells the
-// state.
+// The store compacts its history past the version from which a watch starts. Retries of the same
+// watch would be refused forever, so the result has to say that the caller must list instead.
 Test(platformClient, watchOfCompactedHistoryIsReported)
 {
     Fixture fixture;
@@ -210,8 +208,9 @@
     fixture.expect<ObjectList>(WatchObjects{"b/", list.latest, 10ms});
 }
 
-// An object is written again and again while nobody watches. The watch that follows would bring
-// each of these versions; its caller is told so before they travel, and lists the newest.
+// An object is written many times while nobody watches. The next watch would transfer each of these
+// versions; the client has to report so before they are transferred, and the caller lists the
+// newest.
 Test(platformClient, tooLargeWatchAnswerIsReported)
 {
     constexpr int versions = 20;
@@ -241,7 +240,8 @@
     cr_assert_eq(changes.removed.front(), "b/1");
 }
 
-// The daemon's child that owns the client is restarted while calls are under way.
+// The daemon's component that owns the client is restarted while calls are in progress. Their
+// callbacks must not run afterwards.
 Test(platformClient, destructionAbandonsCalls)
 {
     boost::asio::io_context context;
