--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -23,18 +23,17 @@
 
 namespace {
 
-/// Largest response that is taken, in bytes: a page of the store's largest objects, base64
-/// included.
+/// Largest body of a response in bytes: a page of the store's largest objects, encoded in base64.
 constexpr std::uint64_t MaxResponseBytes = 64 << 20;
 
-/// Longest time without a byte of a response that has begun: a lost packet comes again after 200
-/// ms, and once more after 400; a server that died within it costs no more than this.
+/// Longest time without a byte once a response has begun. Long enough for two retransmissions of a
+/// lost packet, after 200 ms and another 400 ms; bounds the wait for a server that died meanwhile.
 constexpr std::chrono::milliseconds MaxPause{800};
 
-/// Servers whose connections are kept at once.
+/// Number of servers with idle connections above which all idle connections are closed.
 constexpr std::size_t MaxServers = 64;
 
-/// \brief What the calls of one client share.
+/// \brief State shared by the calls of one client.
 struct Shared
 {
     asio::io_context &context;
@@ -42,7 +41,7 @@
     bool closed = false;
 };
 
-/// \brief One call, from the connection to the result.
+/// \brief One call in progress, from connecting to the result.
 class Call : public std::enable_shared_from_this<Call>
 {
 public:
@@ -68,7 +67,7 @@
             connect();
     }
 
-    /// \brief Ends the call without a result.
+    /// \brief Ends the call without calling its handler.
     void abandon()
     {
         m_done = nullptr;
@@ -113,7 +112,7 @@
     {
         m_parser.emplace();
         m_parser->body_limit(m_call.maxBodyBytes > 0 ? m_call.maxBodyBytes : MaxResponseBytes);
-        m_parser->eager(true); // Takes the body too as it comes.
+        m_parser->eager(true); // Also parses the body as it arrives.
         m_received = 0;
         receiveSome();
     }
@@ -130,7 +129,7 @@
     void receivedSome(error_code error)
     {
         if (error == http::error::body_limit) {
-            report(HttpFailure{"the answer is too long", m_received, true});
+            report(HttpFailure{"the answer is too large", m_received, true});
         } else if (error && m_received == 0) {
             failOrRetry("no answer", error);
         } else if (error) {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// \return The longest time without a byte, once the response has begun.
+    /// \return The longest time without a byte once the response has begun.
     [[nodiscard]] Clock::duration pause() const
     {
         return std::min<Clock::duration>(m_call.timeout, MaxPause);
@@ -158,13 +157,13 @@
         report(m_parser->release());
     }
 
-    // A server may drop an idle connection in the moment in which a call reuses it; the caller
-    // would see a failure though the server is well. A read is sent once more on a new
-    // connection. A write is not: it may have taken effect.
+    // A server may close an idle connection at the moment at which a call reuses it, and the caller
+    // would see a failure of a healthy server. A repeatable request is retried once on a new
+    // connection; a write is not, because it may have taken effect.
     void failOrRetry(const char *what, error_code error)
     {
         const bool timedOut = error == beast::error::timeout;
-        // Whatever silenced this connection may have silenced the idle ones too: each would cost
+        // The idle connections may be dead for the same reason as this one, and each would cost
         // another call its whole timeout.
         if (timedOut)
             idle().clear();
@@ -194,15 +193,15 @@
     [[nodiscard]] impl::ConnectionPool &idle()
     {
         if (m_shared->idle.size() > MaxServers)
-            m_shared->idle.clear(); // Of servers that are gone by now; the others connect anew.
+            m_shared->idle.clear(); // Most are of removed servers; the others reconnect.
         return m_shared->idle[m_call.server];
     }
 
     std::shared_ptr<Shared> m_shared;
     HttpCall m_call;
     HttpClient::Handler m_done;
-    Clock::time_point m_deadline;      ///< The response has to have begun.
-    Clock::time_point m_totalDeadline; ///< It has to have ended.
+    Clock::time_point m_deadline;      ///< When the response must have begun.
+    Clock::time_point m_totalDeadline; ///< When the response must have ended.
     std::uint64_t m_received = 0;
     impl::Connection m_connection;
     bool m_reused = false;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -18,37 +18,41 @@
 using HttpClientRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpClientResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// \brief No response: not connected, cut off, or out of time. A write may have taken effect.
+/// \brief A call without a complete response: the connection failed, broke or timed out. A write
+/// may have taken effect.
 struct HttpFailure
 {
     std::string what;
-    std::uint64_t bytes = 0; ///< Received all the same.
-    bool tooLong = false;    ///< The response is longer than the call allows.
+    std::uint64_t bytes = 0; ///< Received before the failure.
+    bool tooLong = false;    ///< The response's body is larger than the call allows.
 };
 
 using HttpResult = std::variant<HttpClientResponse, HttpFailure>;
 
-/// \brief How a call is made.
+/// \brief A request with its server, timeouts and limits.
 struct HttpCall
 {
     Endpoint server;
     HttpClientRequest request;
-    /// From the call until the response begins, and longest pause within it afterwards, up to 0.8
-    /// s. A link that is thin or full makes a large response slow; it would be as slow elsewhere.
+    /// From the call until the response begins. Afterwards the longest time without a byte, limited
+    /// to 0.8 s there. The response as a whole may take longer: a large one is slow over a narrow
+    /// or congested link, and would be as slow from another server.
     Duration timeout{0};
-    /// Until the server's machine takes a new connection; 0 for the timeout. One that is dark or
-    /// cut off never does, one that is busy does at once.
+    /// Until the server's machine accepts a new connection; 0 to use \a timeout. A machine that is
+    /// down or unreachable never accepts it, a busy one does at once.
     Duration connectTimeout{0};
-    /// From the call to the end of the response; 0 where it has to be whole within the timeout.
+    /// From the call to the end of the response; 0 to use \a timeout.
     Duration totalTimeout{0};
-    std::uint64_t maxBodyBytes
-        = 0; ///< Of the response's body; 0 for a bound that none should meet.
-    /// May be sent once more where a connection that was kept turns out to be dropped.
+    /// Largest body of the response; 0 for the client's own limit, which no response should reach.
+    std::uint64_t maxBodyBytes = 0;
+    /// Whether the request may be retried once if the server has dropped the idle connection that
+    /// the call reused.
     bool repeatable = false;
 };
 
-/// \brief Makes HTTP calls over connections that are kept. Never throws for what a server does:
-/// every call ends in a result.
+/// \brief Makes HTTP calls over persistent connections.
+///
+/// Does not throw for errors of a server: every call ends in a result.
 class HttpClient
 {
 public:
@@ -59,7 +63,9 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// \param done Called once, from the io_context, never from within call().
+    /// \brief Starts a call.
+    /// \param done Called once with the result, from the io_context, never from within call(). Not
+    /// called if the client is destroyed first.
     void call(HttpCall call, Handler done);
 
 private:
