--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Servers drop idle connections; a write sent on one that is about to be dropped has an unknown
-/// outcome. Below this age that is rare.
+/// Longest idle time after which a connection is reused. Servers close idle connections, and a
+/// write on one that is about to be closed has an unknown outcome; below this age that is rare.
 constexpr auto MaxIdleTime = std::chrono::seconds{5};
 constexpr std::size_t MaxIdle = 16;
 
--- a/src/net/impl/connection_pool.h
+++ b/src/net/impl/connection_pool.h
@@ -12,14 +12,15 @@
 
 using Connection = std::unique_ptr<boost::beast::tcp_stream>;
 
-/// \brief Connections to the platform that no call uses now.
+/// \brief Idle connections to one server.
 ///
-/// The one used last is taken first, so that the ones a burst has left over grow old and go.
+/// The most recently used one is reused first, so that the surplus of a burst ages and is closed.
 class ConnectionPool
 {
 public:
-    /// \return A connection that was in use lately, or null.
+    /// \return A recently used connection, which leaves the pool, or null.
     [[nodiscard]] Connection take();
+    /// \brief Adds a connection that is no longer in use; closes the oldest one of a full pool.
     void give(Connection connection);
     void clear() noexcept { m_idle.clear(); }
 
--- a/src/net/impl/tcp_keepalive.h
+++ b/src/net/impl/tcp_keepalive.h
@@ -2,13 +2,13 @@
 
 namespace baobabtrail::impl {
 
-/// \brief Has the kernel end a connection whose other end has gone silent.
+/// \brief Enables TCP keep-alive and TCP_USER_TIMEOUT, so that the kernel ends a dead connection;
+/// also sets TCP_NODELAY.
 ///
-/// Something between the two ends may lose track of a connection: nothing arrives any more and
-/// nothing says so, while new connections work. A waiting watch would then hear of no change for
-/// its whole wait, and a drained target would go on getting flows. Probes end it within three
-/// seconds, with no call to the store.
-/// \param socket A connected TCP socket.
+/// A middlebox may lose its state of a connection: its packets are dropped silently, while new
+/// connections work. A pending watch would then miss every change until its wait ends, and a
+/// drained target would continue to get flows. Keep-alive probes end the connection within three
+/// seconds, without a call to the store. \param socket A connected TCP socket.
 void enableTcpKeepAlive(int socket) noexcept;
 
 } // namespace baobabtrail::impl
--- a/src/net/restartable_timer.h
+++ b/src/net/restartable_timer.h
@@ -12,11 +12,11 @@
 
 namespace baobabtrail {
 
-/// \brief A timer of which only the newest start() ever calls back.
+/// \brief A timer that calls back for its most recent start() only.
 ///
-/// The timer of the library cancels a wait only as long as its handler isn't queued yet. In a
-/// process that stood still both are ready together: the event that ends a wait, and the handler of
-/// that wait, which would then act on what the event has begun.
+/// A steady_timer can't cancel a wait whose handler is queued already. After a process stall, the
+/// event that cancels or restarts the timer and the handler of the old wait may be ready at the
+/// same time, and the handler would then act on the state that the event has set up.
 class RestartableTimer
 {
 public:
@@ -25,8 +25,9 @@
     {
     }
 
-    /// \brief Calls back once after a while; whatever was started before no longer does.
-    /// \param call Not called once the timer is gone.
+    /// \brief Starts the timer; cancels the previous start().
+    /// \param wait Time until the callback.
+    /// \param call Called once; not called after the timer was destroyed.
     void start(Duration wait, std::function<void()> call)
     {
         m_timer.expires_after(wait);
@@ -38,7 +39,7 @@
         });
     }
 
-    /// \brief Nothing calls back until the next start().
+    /// \brief Cancels the callback, also one whose handler is queued already.
     void cancel()
     {
         ++*m_newest;
--- a/src/net/tcp_keepalive.cpp
+++ b/src/net/tcp_keepalive.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// Together the silence is noticed within three seconds: below the bounds within which a change of
-// configuration has to be in force.
+// Together they detect a dead connection within three seconds, which is less than the time within
+// which a configuration change has to be in force.
 constexpr int IdleSeconds = 1;
 constexpr int ProbeSeconds = 1;
 constexpr int Probes = 2;
-/// Bytes that are not acknowledged for this long end the connection too.
+/// Sent bytes that stay unacknowledged for this long end the connection too.
 constexpr int UnacknowledgedMilliseconds = 2500;
 
 void setOption(int socket, int level, int name, int value) noexcept
 {
-    // A kernel that lacks an option leaves the call's own timeout, which is longer and enough.
+    // On a kernel without the option the call's own timeout applies, which is longer but
+    // sufficient.
     (void)::setsockopt(socket, level, name, &value, sizeof value);
 }
 
--- a/src/net/try_connection.cpp
+++ b/src/net/try_connection.cpp
@@ -12,11 +12,11 @@
 
 using boost::asio::ip::tcp;
 
-/// A timer that is later than this says that the process stood still, and that an answer may have
-/// come that nobody has looked at.
+/// A timer that fires later than this shows that the process was stalled, so that a response may
+/// have arrived that is not processed yet.
 constexpr Duration MaxTimerDelay = 50ms;
 
-/// \brief One try; lives until both its timer and its connect have ended.
+/// \brief One attempt to connect; lives until both its timer and its connect have completed.
 struct Try : std::enable_shared_from_this<Try>
 {
     Try(boost::asio::io_context &context, std::function<void(Connected)> whenDone)
@@ -59,7 +59,7 @@
         if (!told)
             return;
         timer.cancel();
-        boost::system::error_code ignored; // Nothing was sent; there is nothing to lose.
+        boost::system::error_code ignored; // Nothing was sent, so no data can be lost.
         socket.close(ignored);
         told(end);
     }
--- a/src/net/try_connection.h
+++ b/src/net/try_connection.h
@@ -9,16 +9,16 @@
 
 namespace baobabtrail {
 
-/// \brief How a try to connect has ended.
+/// \brief Result of an attempt to connect.
 enum class Connected {
     Yes,
-    Refused, ///< The machine answered, and did not take it.
-    No,      ///< Unreachable, or no answer in time.
-    Unsure,  ///< No answer, but this process looked much later than it meant to.
+    Refused, ///< The machine responded and refused or reset the connection.
+    No,      ///< Unreachable, or no response in time.
+    Unsure,  ///< No response, but this process was stalled and may have missed it.
 };
 
-/// \brief Tries to connect over TCP, and closes at once what is connected.
-/// \param timeout For the other machine's answer.
+/// \brief Checks whether a server accepts a TCP connection, and closes the connection at once.
+/// \param timeout Time for the other machine's response.
 /// \param done Called once, from the io_context.
 void tryConnection(boost::asio::io_context &context, const Endpoint &server, Duration timeout,
                    std::function<void(Connected)> done);
