--- a/tests/http-client/slow_answer_test.cpp
+++ b/tests/http-client/slow_answer_test.cpp
@@ -19,14 +19,14 @@
 constexpr std::size_t PieceBytes = 20'000;
 constexpr std::size_t Pieces = 30;
 constexpr Duration Gap = 50ms;
-/// Less than the whole answer takes, and much more than the time between two pieces.
+/// Shorter than the whole response takes, and much longer than the gap between two pieces.
 constexpr Duration Timeout = 1s;
 
-/// \brief A server at the end of a thin link: it sends its one answer piece by piece.
+/// \brief A server behind a slow link: it sends its only response piece by piece.
 class SlowServer
 {
 public:
-    /// \param stopsAfter It says no more after so many pieces.
+    /// \param stopsAfter Number of pieces after which it sends nothing more.
     SlowServer(boost::asio::io_context &context, std::size_t stopsAfter = Pieces)
         : m_acceptor(context, {boost::asio::ip::address_v4::loopback(), 0})
         , m_socket(context)
@@ -107,8 +107,9 @@
 
 } // namespace
 
-// A large answer comes over a thin link: twice as long as its server may be silent, but it moves
-// all the while. It is taken; given up, it would be as late from any other server.
+// A large response arrives over a slow link: it takes about twice as long as the server may be
+// silent, but its bytes arrive steadily. It must not be abandoned, because it would be as slow from
+// any other server.
 Test(httpClient, slowAnswerIsReceivedWhole)
 {
     boost::asio::io_context context{1};
@@ -119,7 +120,7 @@
     cr_assert_eq(response->body().size(), Pieces * PieceBytes);
 }
 
-// The same, from a caller that allows no more than the timeout for all of it.
+// The same response, but the caller allows no more than the timeout for the whole of it.
 Test(httpClient, totalTimeoutBoundsTheAnswer)
 {
     boost::asio::io_context context{1};
@@ -131,8 +132,8 @@
     cr_assert_lt(failure->bytes, Pieces * PieceBytes);
 }
 
-// The server dies in the middle of its answer. The caller is told within the timeout, not at the
-// end of the longest time, and how much came.
+// The server dies in the middle of its response. The call has to fail within the timeout instead of
+// at the end of the total timeout, and report the number of bytes received.
 Test(httpClient, stalledAnswerTimesOut)
 {
     constexpr std::size_t sent = 5;
