--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -81,9 +81,9 @@
     void connect()
     {
         m_connection = std::make_unique<beast::tcp_stream>(m_shared->context);
-        const Clock::time_point given = Clock::now() + m_call.connectTimeout;
+        const Clock::time_point connectDeadline = Clock::now() + m_call.connectTimeout;
         const bool bounded = m_call.connectTimeout > Duration{0};
-        m_connection->expires_at(bounded ? std::min(given, m_deadline) : m_deadline);
+        m_connection->expires_at(bounded ? std::min(connectDeadline, m_deadline) : m_deadline);
         const asio::ip::tcp::endpoint address{asio::ip::address_v4{m_call.server.address},
                                               m_call.server.port};
         m_connection->async_connect(address, [self = shared_from_this()](error_code error) {
--- a/src/net/try_connection.cpp
+++ b/src/net/try_connection.cpp
@@ -55,13 +55,13 @@
 
     void end(Connected end)
     {
-        const auto told = std::exchange(done, nullptr);
-        if (!told)
+        const auto handler = std::exchange(done, nullptr);
+        if (!handler)
             return;
         timer.cancel();
         boost::system::error_code ignored; // Nothing was sent, so no data can be lost.
         socket.close(ignored);
-        told(end);
+        handler(end);
     }
 
     tcp::socket socket;
