--- a/src/store/client.h
+++ b/src/store/client.h
@@ -22,8 +22,8 @@
 /// \brief Calls the platform's object store and VM list over HTTP.
 ///
 /// Does not throw for errors of the platform: every call ends in a result. Responses with status
-/// 429 and 503 may carry Retry-After in seconds. \see platform/object_form.h for the calls and
-/// their encoding.
+/// 429 and 503 may carry Retry-After in seconds.
+/// \see platform/object_form.h for the calls and their encoding.
 class PlatformClient
 {
 public:
