--- a/src/daemon/direct/peer_http.cpp
+++ b/src/daemon/direct/peer_http.cpp
@@ -26,7 +26,7 @@
     HttpCall call;
     call.server = peer;
     call.request = HttpClientRequest{http::verb::post, wire::ViewPath, HttpVersion};
-    call.request.set(http::field::accept_encoding, wire::PackedCoding);
+    call.request.set(http::field::accept_encoding, wire::ContentCoding);
     call.request.body() = wire::toJson(query);
     call.request.prepare_payload();
     call.connectTimeout = timeouts.connect;
@@ -44,16 +44,16 @@
     const std::uint64_t bytes = response.body().size();
     if (response.result() != http::status::ok)
         return {{}, bytes, "status " + std::to_string(response.result_int())};
-    if (response[http::field::content_encoding] != wire::PackedCoding)
+    if (response[http::field::content_encoding] != wire::ContentCoding)
         return readAnswer(response.body(), bytes);
-    const auto body = wire::unpacked(response.body());
+    const auto body = wire::decompress(response.body());
     return body ? readAnswer(*body, bytes)
                 : PeerResult{{}, bytes, "the answer can't be decompressed"};
 }
 
 std::optional<PeerQuery> parsePeerQuery(const HttpRequest &request)
 {
-    return request.path == wire::ViewPath ? wire::parseQuestion(request.body) : std::nullopt;
+    return request.path == wire::ViewPath ? wire::parseQuery(request.body) : std::nullopt;
 }
 
 HttpReply peerResponse(const HttpRequest &request, const PeerReply &reply)
@@ -64,11 +64,11 @@
         return none;
     }
     std::string body = wire::toJson(*reply);
-    const bool packs = request.acceptEncoding == wire::PackedCoding;
-    auto packed = packs ? wire::packed(body) : std::nullopt;
+    const bool packs = request.acceptEncoding == wire::ContentCoding;
+    auto packed = packs ? wire::compress(body) : std::nullopt;
     HttpReply answer{200, "application/json", std::move(packed ? *packed : body)};
     if (packed)
-        answer.contentEncoding = wire::PackedCoding;
+        answer.contentEncoding = wire::ContentCoding;
     answer.closes = closesConnection(reply);
     return answer;
 }
--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -261,7 +261,7 @@
     return json::serialize(out);
 }
 
-std::optional<PeerQuery> parseQuestion(std::string_view text)
+std::optional<PeerQuery> parseQuery(std::string_view text)
 {
     return parsed<PeerQuery>(text, [](const json::object &root) {
         PeerQuery question;
@@ -306,7 +306,7 @@
     });
 }
 
-std::optional<std::string> packed(std::string_view body)
+std::optional<std::string> compress(std::string_view body)
 {
     if (body.size() < MinPatchedBytes)
         return std::nullopt;
@@ -317,7 +317,7 @@
     }
 }
 
-std::optional<std::string> unpacked(std::string_view body)
+std::optional<std::string> decompress(std::string_view body)
 {
     return applyPatch({}, body);
 }
--- a/tests/directory/value_patch_test.cpp
+++ b/tests/directory/value_patch_test.cpp
@@ -133,7 +133,7 @@
     PeerQuery query;
     query.collections = {{"routes/", ObjectVersion{10}}};
     query.patches = true;
-    cr_assert(wire::parseQuestion(wire::toJson(query))->patches);
+    cr_assert(wire::parseQuery(wire::toJson(query))->patches);
 }
 
 // A daemon listed the store between two versions that its source knows, so the patch was made for a
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -287,7 +287,7 @@
         if (!sendsAsWritten || !reply)
             return sizeOf(reply);
         const std::string body = wire::toJson(*reply);
-        const auto packed = wire::packed(body);
+        const auto packed = wire::compress(body);
         return packed ? packed->size() : body.size();
     }
 
--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -41,7 +41,7 @@
     question.origin = Root;
     question.heartbeat = 12;
     question.oneShot = true;
-    const auto read = wire::parseQuestion(wire::toJson(question));
+    const auto read = wire::parseQuery(wire::toJson(question));
     cr_assert(read.has_value());
     cr_assert_eq(read->collections.size(), 2);
     cr_assert_eq(read->collections.at(0).prefix, "routes/");
@@ -113,7 +113,7 @@
 // takes the first one of an answer for both.
 Test(viewForm, aQuestionForOneCollectionIsReadToo)
 {
-    const auto read = wire::parseQuestion(
+    const auto read = wire::parseQuery(
         R"({"prefix":"routes/","after":4,"asker":"10.1.0.1:9000","domain":"d"})");
     cr_assert(read.has_value());
     cr_assert_eq(read->collections.size(), 1);
@@ -128,6 +128,6 @@
           R"({"domain":"d","age_us":5,"redirect":["nowhere"]})",
           R"({"domain":"d","age_us":5,"version":-3,"complete":true})"}) {
         cr_assert(!wire::parseAnswer(text), "%s", text);
-        cr_assert(!wire::parseQuestion(text), "%s", text);
+        cr_assert(!wire::parseQuery(text), "%s", text);
     }
 }
