--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -57,7 +57,7 @@
 }
 
 /// \brief Writes addresses as older releases read them, and the failure domains beside them.
-void appendNamed(json::object &out, const std::vector<PeerReferral> &daemons)
+void appendReferrals(json::object &out, const std::vector<PeerReferral> &daemons)
 {
     json::array addresses;
     json::array domains;
@@ -70,8 +70,8 @@
 }
 
 /// \param domains Of the addresses; null from an older release.
-[[nodiscard]] std::vector<PeerReferral> namedOf(const json::value &addresses,
-                                                const json::value *domains)
+[[nodiscard]] std::vector<PeerReferral> referralsOf(const json::value &addresses,
+                                                    const json::value *domains)
 {
     std::vector<PeerReferral> out;
     for (const Endpoint &address : endpointsOf(addresses))
@@ -84,10 +84,10 @@
     return out;
 }
 
-[[nodiscard]] bool flagOf(const json::object &object, std::string_view name, bool usually)
+[[nodiscard]] bool flagOf(const json::object &object, std::string_view name, bool fallback)
 {
     const json::value *value = object.if_contains(name);
-    return value ? value->as_bool() : usually;
+    return value ? value->as_bool() : fallback;
 }
 
 void appendPatch(json::object &answer, const ValuePatch &patch)
@@ -164,13 +164,13 @@
     return answer;
 }
 
-void append(json::object &out, const CollectionQuery &question)
+void append(json::object &out, const CollectionQuery &query)
 {
-    out["prefix"] = question.prefix;
-    out["after"] = question.after.value();
+    out["prefix"] = query.prefix;
+    out["after"] = query.after.value();
 }
 
-[[nodiscard]] CollectionQuery collectionQuestionOf(const json::object &in)
+[[nodiscard]] CollectionQuery collectionQueryOf(const json::object &in)
 {
     return {textOf(in.at("prefix")), ObjectVersion{in.at("after").to_number<std::uint64_t>()}};
 }
@@ -221,21 +221,21 @@
 
 // What has its usual value is left out: a daemon sends some of these each second, of 2 KB that
 // control may take.
-std::string toJson(const PeerQuery &question)
+std::string toJson(const PeerQuery &query)
 {
-    json::object out{{"asker", textOf(question.querier)}, {"domain", question.domain}};
-    appendAll(out, question.collections);
-    if (question.wait > Duration{0})
-        out["wait_us"] = micros(question.wait);
-    if (question.age)
-        out["age_us"] = micros(*question.age);
-    if (!question.origin.isNull()) {
-        out["origin"] = textOf(question.origin);
-        out["pulse"] = question.heartbeat;
+    json::object out{{"asker", textOf(query.querier)}, {"domain", query.domain}};
+    appendAll(out, query.collections);
+    if (query.wait > Duration{0})
+        out["wait_us"] = micros(query.wait);
+    if (query.age)
+        out["age_us"] = micros(*query.age);
+    if (!query.origin.isNull()) {
+        out["origin"] = textOf(query.origin);
+        out["pulse"] = query.heartbeat;
     }
-    if (question.oneShot)
+    if (query.oneShot)
         out["look"] = true;
-    if (question.patches)
+    if (query.patches)
         out["patches"] = true;
     return json::serialize(out);
 }
@@ -246,7 +246,7 @@
     if (answer.isEmpty)
         out["blank"] = true;
     if (!answer.redirect.empty()) {
-        appendNamed(out, answer.redirect);
+        appendReferrals(out, answer.redirect);
         return json::serialize(out);
     }
     if (!answer.hasSlot)
@@ -264,21 +264,21 @@
 std::optional<PeerQuery> parseQuery(std::string_view text)
 {
     return parsed<PeerQuery>(text, [](const json::object &root) {
-        PeerQuery question;
-        question.collections = readAll(root, collectionQuestionOf);
-        question.querier = endpointOf(root.at("asker"));
-        question.domain = textOf(root.at("domain"));
+        PeerQuery query;
+        query.collections = readAll(root, collectionQueryOf);
+        query.querier = endpointOf(root.at("asker"));
+        query.domain = textOf(root.at("domain"));
         if (const json::value *wait = root.if_contains("wait_us"))
-            question.wait = Duration{wait->to_number<std::uint32_t>()};
+            query.wait = Duration{wait->to_number<std::uint32_t>()};
         if (const json::value *age = root.if_contains("age_us"))
-            question.age = Duration{age->to_number<std::int64_t>()};
+            query.age = Duration{age->to_number<std::int64_t>()};
         if (const json::value *origin = root.if_contains("origin")) {
-            question.origin = endpointOf(*origin);
-            question.heartbeat = root.at("pulse").to_number<std::uint64_t>();
+            query.origin = endpointOf(*origin);
+            query.heartbeat = root.at("pulse").to_number<std::uint64_t>();
         }
-        question.oneShot = flagOf(root, "look", false);
-        question.patches = flagOf(root, "patches", false);
-        return question;
+        query.oneShot = flagOf(root, "look", false);
+        query.patches = flagOf(root, "patches", false);
+        return query;
     });
 }
 
@@ -290,7 +290,7 @@
         answer.age = Duration{root.at("age_us").to_number<std::int64_t>()};
         answer.isEmpty = flagOf(root, "blank", false);
         if (const json::value *redirect = root.if_contains("redirect")) {
-            answer.redirect = namedOf(*redirect, root.if_contains("domains"));
+            answer.redirect = referralsOf(*redirect, root.if_contains("domains"));
             return answer;
         }
         answer.hasSlot = flagOf(root, "seated", true);
--- a/src/wire/view_form.h
+++ b/src/wire/view_form.h
@@ -13,7 +13,7 @@
 /// Path at which a daemon answers questions, by POST.
 inline constexpr std::string_view ViewPath = "/v1/view";
 
-[[nodiscard]] std::string toJson(const PeerQuery &question);
+[[nodiscard]] std::string toJson(const PeerQuery &query);
 [[nodiscard]] std::string toJson(const PeerAnswer &answer);
 
 /// \return The question, or nothing where the text is none.
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -98,7 +98,7 @@
 
 } // namespace
 
-Test(codec, everyFieldOfEveryMessageComesBack)
+Test(codec, everyFieldRoundTrips)
 {
     roundTrip<CallerMessage>([](const auto &m) { return wire::encode(m); }, wire::decodeCaller);
     roundTrip<TargetDatagram>([](const auto &m) { return wire::encode(m); }, wire::decodeTarget);
@@ -108,7 +108,7 @@
                               [](const auto &b) { return wire::decodeRecords(b, keys()); });
 }
 
-Test(codec, linkMessagesComeBackHoweverTheStreamIsCut)
+Test(codec, linkMessagesSurviveAnySegmentation)
 {
     Random random{11};
     Generator generator{random};
--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -9,7 +9,7 @@
 constexpr Endpoint Root{0x0A010000, 9000};
 constexpr Endpoint Follower{0x0A010001, 9000};
 
-[[nodiscard]] PeerAnswer answerOfAFollower()
+[[nodiscard]] PeerAnswer makeFollowerAnswer()
 {
     PeerAnswer answer;
     answer.domain = "alx-raml";
@@ -30,18 +30,18 @@
 
 } // namespace
 
-Test(viewForm, aQuestionComesAsItWasAsked)
+Test(viewForm, queryRoundTrips)
 {
-    PeerQuery question;
-    question.collections = {{"routes/", ObjectVersion{6}}, {"targets/", ObjectVersion{7}}};
-    question.wait = 1s;
-    question.querier = Follower;
-    question.domain = "alx-agami";
-    question.age = 300ms;
-    question.origin = Root;
-    question.heartbeat = 12;
-    question.oneShot = true;
-    const auto read = wire::parseQuery(wire::toJson(question));
+    PeerQuery query;
+    query.collections = {{"routes/", ObjectVersion{6}}, {"targets/", ObjectVersion{7}}};
+    query.wait = 1s;
+    query.querier = Follower;
+    query.domain = "alx-agami";
+    query.age = 300ms;
+    query.origin = Root;
+    query.heartbeat = 12;
+    query.oneShot = true;
+    const auto read = wire::parseQuery(wire::toJson(query));
     cr_assert(read.has_value());
     cr_assert_eq(read->collections.size(), 2);
     cr_assert_eq(read->collections.at(0).prefix, "routes/");
@@ -54,9 +54,9 @@
     cr_assert(read->oneShot);
 }
 
-Test(viewForm, anAnswerBringsItsWayFromTheStore)
+Test(viewForm, answerCarriesLineage)
 {
-    const auto read = wire::parseAnswer(wire::toJson(answerOfAFollower()));
+    const auto read = wire::parseAnswer(wire::toJson(makeFollowerAnswer()));
     cr_assert(read.has_value());
     cr_assert(read->lineage.path == std::vector<Endpoint>({Follower, Root}));
     cr_assert(read->lineage.origin == Root);
@@ -74,7 +74,7 @@
 
 // Daemons are replaced one after the other: some still speak without the way to the store. Their
 // answers count as those of a daemon that is linked to nobody, and are not thrown away.
-Test(viewForm, anAnswerWithoutItsWayIsReadToo)
+Test(viewForm, acceptsAnswerWithoutLineage)
 {
     const auto read = wire::parseAnswer(
         R"({"domain":"d","age_us":5,"version":3,"complete":true,"after_outage":false,)"
@@ -84,7 +84,7 @@
     cr_assert(read->lineage.origin.isNull());
 }
 
-Test(viewForm, othersAreNamedWithTheirFailureDomains)
+Test(viewForm, redirectCarriesFailureDomains)
 {
     PeerAnswer answer;
     answer.domain = "d";
@@ -97,7 +97,7 @@
     cr_assert_not(older->redirect.at(0).domain.has_value());
 }
 
-Test(viewForm, oneThatHasNothingItselfSaysSo)
+Test(viewForm, answerOfAnEmptyDaemonRoundTrips)
 {
     PeerAnswer answer;
     answer.domain = "d";
@@ -111,7 +111,7 @@
 
 // Releases differ while daemons are replaced: one that asks for one collection is understood, and
 // takes the first one of an answer for both.
-Test(viewForm, aQuestionForOneCollectionIsReadToo)
+Test(viewForm, acceptsQueryForOneCollection)
 {
     const auto read = wire::parseQuery(
         R"({"prefix":"routes/","after":4,"asker":"10.1.0.1:9000","domain":"d"})");
@@ -121,7 +121,7 @@
 }
 
 // Whoever reaches the port may send anything; none of it may end the daemon or pass for an answer.
-Test(viewForm, refusesWhatIsNone)
+Test(viewForm, rejectsMalformedMessages)
 {
     for (const char *text :
          {"", "{", "[]", "null", R"({"domain":1})", R"({"domain":"d","age_us":"x"})",
