--- a/src/wire/caller_frames.cpp
+++ b/src/wire/caller_frames.cpp
@@ -84,7 +84,7 @@
 
 namespace {
 
-/// \brief Fills an ask up to MinAskBytes.
+/// \brief Pads an OpenFlow or Reserve to MinAskBytes.
 template <typename Body>
 void pad(pb::Frame &frame, Body &body)
 {
@@ -118,7 +118,7 @@
     pb::Frame frame;
     if (!impl::parse(bytes, frame))
         return DecodeError::Malformed;
-    // A reply is no larger than the ask, so that a forged return address gains its sender nothing.
+    // No reply is larger than MinAskBytes, so a forged source address gives no amplification.
     if (isAsk(frame) && bytes.size() < MinAskBytes)
         return DecodeError::TooSmall;
     return impl::read(frame);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -13,33 +13,34 @@
 #include <vector>
 
 /// \file
-/// \brief Frames on the wire; docs/PROTOCOL.md describes them for callers and targets.
+/// \brief Encoding and decoding of all protobuf frames, and of the PROXY protocol header.
+/// docs/PROTOCOL.md specifies the frames for callers and targets.
 
 namespace baobabtrail::wire {
 
-/// Largest datagram that is sent or taken, in bytes.
+/// Largest datagram that is sent or accepted, in bytes.
 inline constexpr std::size_t MaxDatagramBytes = 60000;
-/// Room for what daemons put around a caller's frame when they pass it on.
+/// Bytes reserved for the envelope in which daemons forward a caller's frame to each other.
 inline constexpr std::size_t MaxEnvelopeBytes = 512;
 /// Largest frame that a caller may send, in bytes.
 inline constexpr std::size_t MaxCallerBytes = MaxDatagramBytes - MaxEnvelopeBytes;
 /// Largest message on a connection to a target, in bytes.
 inline constexpr std::size_t MaxLinkMessageBytes = 1 << 20;
-/// Smallest OpenFlow or Reserve that is taken, in bytes: no reply to one is larger, so that a
-/// forged return address gains nothing.
+/// Smallest OpenFlow or Reserve that is accepted, in bytes. No reply to one is larger, so a forged
+/// source address can't be used for traffic amplification.
 inline constexpr std::size_t MinAskBytes = 200;
 
-/// \brief Why bytes were not taken; counted by kind.
+/// \brief Why decoding failed; counted by kind.
 enum class DecodeError {
     TooLarge,
     TooSmall, ///< An OpenFlow or Reserve shorter than MinAskBytes.
     Malformed,
     UnknownKind,
-    UnknownEpoch, ///< Between daemons: the key is not known.
-    BadMac,       ///< Between daemons: forged or damaged.
+    UnknownEpoch, ///< Between daemons: no key is known for the epoch.
+    BadMac,       ///< Between daemons: the MAC doesn't match; forged or corrupted.
 };
 
-/// \brief A message, or why there is none.
+/// \brief A decoded message or the error.
 template <typename Message>
 using Decoded = std::variant<Message, DecodeError>;
 
@@ -55,15 +56,16 @@
 [[nodiscard]] std::string encode(const RecordsMessage &message, const KeyRing &keys);
 [[nodiscard]] Decoded<RecordsMessage> decodeRecords(std::string_view bytes, const KeyRing &keys);
 
-/// \return The message behind its length, four bytes with the highest first.
+/// \return The message, prefixed with its length in bytes (32 bits, big-endian).
 [[nodiscard]] std::string encodeLink(const LinkMessage &message);
 
-/// \brief Cuts the bytes of a connection into messages.
+/// \brief Splits the byte stream of a target connection into length-prefixed messages.
 class LinkReader
 {
 public:
-    /// \param bytes What was read. \param out Whole messages are added at its end.
-    /// \return Nothing, or why the connection has to be closed.
+    /// \brief Buffers the bytes and decodes every message that is complete.
+    /// \param bytes The bytes read. \param out Decoded messages are appended.
+    /// \return Nothing, or the error for which the connection must be closed.
     [[nodiscard]] std::optional<DecodeError> feed(std::string_view bytes,
                                                   std::vector<LinkMessage> &out);
 
@@ -71,17 +73,17 @@
     std::string m_buffer;
 };
 
-/// \brief A datagram that the fabric passed on, with the caller's address in a PROXY protocol
-/// version 2 header in front.
+/// \brief A datagram forwarded by the fabric, whose PROXY protocol version 2 header carries the
+/// caller's address.
 struct ProxiedDatagram
 {
     Endpoint source;
     std::string_view payload;
 };
 
-/// \return The header for a UDP datagram over IPv4 that came from \a source.
+/// \return The PROXY protocol version 2 header of a UDP/IPv4 datagram from \a source.
 [[nodiscard]] std::string proxyHeader(const Endpoint &source, const Endpoint &destination);
-/// \return The datagram, or nothing where the header is not one of UDP over IPv4.
+/// \return The datagram, or nothing if it has no valid header for UDP over IPv4.
 [[nodiscard]] std::optional<ProxiedDatagram> parseProxied(std::string_view bytes);
 
 } // namespace baobabtrail::wire
--- a/src/wire/proxy_header.cpp
+++ b/src/wire/proxy_header.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// PROXY protocol, version 2: a signature, then version and command, family and transport, and the
-// length of the addresses that follow.
+// Layout of a PROXY protocol version 2 header: signature, version and command, address family and
+// transport, length of the rest, addresses.
 constexpr std::string_view Signature{"\x0d\x0a\x0d\x0a\x00\x0d\x0a\x51\x55\x49\x54\x0a", 12};
 constexpr char VersionAndProxy = 0x21;
 constexpr char DatagramOverIpv4 = 0x12;
@@ -52,7 +52,7 @@
         return std::nullopt;
     if (bytes[12] != VersionAndProxy || bytes[13] != DatagramOverIpv4)
         return std::nullopt;
-    // The length may cover extensions behind the addresses; they are skipped.
+    // The length also covers optional TLVs after the addresses; these are skipped.
     const std::size_t length = numberAt<std::uint16_t>(bytes, 14);
     if (length < AddressBytes || bytes.size() < FixedBytes + length)
         return std::nullopt;
--- a/src/wire/token_text.h
+++ b/src/wire/token_text.h
@@ -8,11 +8,12 @@
 
 namespace baobabtrail::wire {
 
-/// \brief The bytes of a token as they stand in frames; callers log them, operators explain them.
+/// \brief Serializes a token as in frames. Callers log these bytes; operators decode them with the
+/// `explain` command.
 [[nodiscard]] std::string encodeToken(const FlowToken &token);
 [[nodiscard]] std::string encodeToken(const ReservationToken &token);
 
-/// \return The token, or nothing where the bytes are none. Its MAC is not checked.
+/// \return The token, or nothing if the bytes don't parse. The MAC is not checked.
 [[nodiscard]] std::optional<FlowToken> decodeFlowToken(std::string_view bytes);
 [[nodiscard]] std::optional<ReservationToken> decodeReservation(std::string_view bytes);
 
