--- a/src/wire/link_frames.cpp
+++ b/src/wire/link_frames.cpp
@@ -152,7 +152,7 @@
     std::string_view rest = m_buffer;
     while (rest.size() >= LengthBytes) {
         const std::size_t length = lengthAt(rest);
-        // Checked before the message is complete: a hostile length must not fill the memory.
+        // Checked before the message is complete, so that a malicious length can't exhaust memory.
         if (length > MaxLinkMessageBytes)
             return DecodeError::TooLarge;
         if (rest.size() - LengthBytes < length)
--- a/src/wire/peer_frames.cpp
+++ b/src/wire/peer_frames.cpp
@@ -20,7 +20,8 @@
     }
 }
 
-/// \return Whether the load can be compared with others: a NaN would make every choice wrong.
+/// \return Whether the load is finite and not negative. A NaN compares false with every load and
+/// would break target selection.
 [[nodiscard]] bool isLoad(float load) noexcept
 {
     return std::isfinite(load) && load >= 0;
@@ -57,7 +58,7 @@
     return true;
 }
 
-/// \brief Writes one of several flow or request messages.
+/// \brief Writes the flow or request message that the variant holds.
 template <typename Variant>
 void writeFrame(const Variant &in, pb::Frame &out)
 {
@@ -71,7 +72,8 @@
     impl::write(std::visit(asCaller, in), out);
 }
 
-/// \brief Reads a message that has to be one of those that \a Variant holds.
+/// \brief Reads a flow or request message.
+/// \return Nothing, or an error; UnknownKind if \a Variant can't hold a message of this kind.
 template <typename Variant>
 [[nodiscard]] std::optional<DecodeError> readFrame(pb::Frame &in, Variant &out)
 {
@@ -189,7 +191,7 @@
     return readFrame(*in.mutable_body(), out.body);
 }
 
-/// \brief Reads what all kinds of pings share.
+/// \brief Reads the fields common to all kinds of pings.
 template <typename Body, typename Message>
 [[nodiscard]] Error readPing(Body &in, Message &out)
 {
--- a/src/wire/records_frames.cpp
+++ b/src/wire/records_frames.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Largest message between daemons over HTTP, in bytes: snapshots come in shards of a megabyte.
+/// Largest message between daemons over HTTP, in bytes. Snapshots are sent in shards of a
+/// megabyte.
 constexpr std::size_t MaxRecordsBytes = 32 << 20;
 
 class RecordsWriter
--- a/src/wire/request_frames.cpp
+++ b/src/wire/request_frames.cpp
@@ -85,7 +85,8 @@
     return {in.request_high(), in.request_low()};
 }
 
-/// \brief Reads the id and the token, which every message that names a reservation must carry.
+/// \brief Reads the request id and the reservation token.
+/// \return False if the token, which these messages require, is missing.
 template <typename Body, typename Message>
 [[nodiscard]] bool readReserved(const Body &in, Message &out) noexcept
 {
