--- a/src/wire/impl/fields.h
+++ b/src/wire/impl/fields.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Conversion of single fields, shared by all kinds of frames.
+/// \brief Conversion of single fields between C++ and protobuf, shared by all kinds of frames.
 
 #include "core/endpoint.h"
 #include "core/load.h"
@@ -19,8 +19,9 @@
 
 namespace baobabtrail::wire::impl {
 
-/// Longest duration that is taken. A hostile one near the limit of 64 bits would overflow when it
-/// is added to a time; this bound is far beyond any use and far below any overflow.
+/// Longest duration that is accepted, in microseconds (366 days). A malicious value near the limit
+/// of 64 bits would overflow when added to a time; this bound is far above any real duration and
+/// far below overflow.
 inline constexpr std::uint64_t MaxMicroseconds = 366ULL * 24 * 3600 * 1'000'000;
 
 [[nodiscard]] constexpr std::uint64_t packEndpoint(const Endpoint &endpoint) noexcept
@@ -28,7 +29,7 @@
     return std::uint64_t{endpoint.address} << 16 | endpoint.port;
 }
 
-/// \return The endpoint; bits that belong to none are dropped.
+/// \return The endpoint in the lower 48 bits; the other bits are ignored.
 [[nodiscard]] constexpr Endpoint unpackEndpoint(std::uint64_t packed) noexcept
 {
     return {static_cast<std::uint32_t>(packed >> 16), static_cast<std::uint16_t>(packed)};
@@ -47,7 +48,8 @@
     return packed <= MaxMicroseconds;
 }
 
-/// \brief Takes an enumerator over where its number is one of the known ones.
+/// \brief Converts a protobuf enum number.
+/// \return Whether the number is in the range from 0 to \a last.
 template <typename Enum>
 [[nodiscard]] constexpr bool readEnum(int number, Enum last, Enum &out) noexcept
 {
--- a/src/wire/impl/flow_frames.h
+++ b/src/wire/impl/flow_frames.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Readers of flow messages; each returns whether every field was valid.
+/// \brief Conversion of flow messages from protobuf; false if a field is invalid.
 
 #include "core/messages/flow.h"
 #include "wire/frames.pb.h"
--- a/src/wire/impl/request_frames.h
+++ b/src/wire/impl/request_frames.h
@@ -1,14 +1,15 @@
 #pragma once
 
 /// \file
-/// \brief Readers of request messages; each returns whether every field was valid.
+/// \brief Conversion of request messages from protobuf; false if a field is invalid.
 
 #include "core/messages/request.h"
 #include "wire/frames.pb.h"
 
 namespace baobabtrail::wire::impl {
 
-/// Most parts of one answer; a hostile count must not make a caller set aside memory.
+/// Upper limit of the parts of one answer, so that a malicious count can't make a caller allocate
+/// excessive memory.
 inline constexpr std::uint32_t MaxAnswerParts = 65536;
 
 [[nodiscard]] bool readBody(pb::Reserve &in, const FlowToken *, Reserve &out);
--- a/src/wire/impl/sealed.h
+++ b/src/wire/impl/sealed.h
@@ -6,11 +6,11 @@
 
 namespace baobabtrail::wire::impl {
 
-/// \return The frame in its envelope, with the MAC of the current epoch.
+/// \return The serialized frame in an envelope with a MAC made with the key of the current epoch.
 [[nodiscard]] std::string seal(const pb::DaemonFrame &frame, const KeyRing &keys);
 
-/// \brief Checks the MAC before anything inside is parsed.
-/// \param limit Largest size that is taken. \param out The frame where the result is empty.
+/// \brief Opens an envelope; verifies the MAC before the content is parsed.
+/// \param limit Largest accepted size in bytes. \param out The frame, if no error is returned.
 [[nodiscard]] std::optional<DecodeError> unseal(std::string_view bytes, std::size_t limit,
                                                 const KeyRing &keys, pb::DaemonFrame &out);
 
