--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -20,13 +20,13 @@
     return ring;
 }
 
-/// \brief One kind of envelope.
+/// \brief One kind of frame, with its generator and decoder.
 struct Form
 {
     const char *name;
-    bool sealed; ///< Whether a MAC covers all of it.
+    bool sealed; ///< Whether a MAC covers the whole frame.
     std::function<std::string(Generator &)> random;
-    /// The message in the bytes, encoded again; nothing where there is none.
+    /// Decodes and re-encodes the message; nothing if decoding fails.
     std::function<std::optional<std::string>(std::string_view)> decode;
 };
 
@@ -75,7 +75,7 @@
     };
 }
 
-/// \brief Encodes and decodes random messages; each has to come back with every field as it was.
+/// \brief Encodes and decodes random messages and compares every field.
 template <typename Message, typename Encode, typename Decode>
 void roundTrip(Encode encode, Decode decode)
 {
@@ -128,10 +128,9 @@
     cr_assert(same(sent, received));
 }
 
-// A hostile sender, or a network that damages what it carries, sends anything at all to a daemon.
-// The bytes are changed, cut, repeated and filled up at random, then decoded as each kind of frame.
-// Nothing may be read beyond the bytes, and every outcome is a message or a counted error; between
-// daemons no changed byte may pass.
+// A malicious sender or a corrupting network can deliver arbitrary bytes. Randomly changed, cut,
+// repeated and padded frames must decode to a message or an error without reading out of bounds;
+// between daemons, the MAC must reject every changed byte.
 Test(codec, mutatedBytesAreDecodedOrRefused)
 {
     constexpr int Mutations = 120000;
@@ -167,9 +166,9 @@
     }
 }
 
-// A sender forges the caller's address and asks for a flow or a reservation with a few bytes.
-// Were they answered, the reply would be larger than the ask, and the daemons a weapon: asks are
-// refused below MinAskBytes, and every reply to one fits into that.
+// Amplification attack: a sender forges the caller's address in a tiny OpenFlow or Reserve, and the
+// daemon sends a larger reply to the victim. Requests below MinAskBytes must be refused, and every
+// reply must fit into that size.
 Test(codec, noReplyIsLargerThanItsAsk)
 {
     Random random{9};
@@ -186,7 +185,7 @@
               CallerMessage{RequestMessage{generator.make<NotRun>()}}})
             cr_assert_leq(wire::encode(reply).size(), wire::MinAskBytes);
     }
-    // An empty OpenFlow and an empty Reserve: the field's number and length 0.
+    // An empty OpenFlow and an empty Reserve: field tag and length 0.
     cr_assert(errorOf(std::string_view{"\x0a\x00", 2}) == wire::DecodeError::TooSmall);
     cr_assert(errorOf(std::string_view{"\x4a\x00", 2}) == wire::DecodeError::TooSmall);
 }
