--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -72,8 +72,8 @@
     cr_assert(read->collections.at(1).sinceStoreReturn == 1200ms);
 }
 
-// Daemons are replaced one after the other: some still speak without the way to the store. Their
-// answers count as those of a daemon that is linked to nobody, and are not thrown away.
+// During a rolling update, older daemons answer without the path to the store. Their answers must
+// be accepted, with an empty lineage.
 Test(viewForm, acceptsAnswerWithoutLineage)
 {
     const auto read = wire::parseAnswer(
@@ -109,8 +109,8 @@
     cr_assert_eq(read->lineage.heartbeat, 3);
 }
 
-// Releases differ while daemons are replaced: one that asks for one collection is understood, and
-// takes the first one of an answer for both.
+// During a rolling update, older daemons query one collection only, and use the first one of an
+// answer for both. Such queries must be accepted.
 Test(viewForm, acceptsQueryForOneCollection)
 {
     const auto read = wire::parseQuery(
@@ -120,7 +120,8 @@
     cr_assert_eq(read->collections.at(0).after.value(), 4);
 }
 
-// Whoever reaches the port may send anything; none of it may end the daemon or pass for an answer.
+// Any client that reaches the port can send arbitrary text. It must neither terminate the daemon
+// nor be accepted as a query or answer.
 Test(viewForm, rejectsMalformedMessages)
 {
     for (const char *text :
