--- a/src/wire/view_form.cpp
+++ b/src/wire/view_form.cpp
@@ -56,7 +56,8 @@
     return out;
 }
 
-/// \brief Writes addresses as older releases read them, and the failure domains beside them.
+/// \brief Writes the addresses in the array that older releases read, and the failure domains in a
+/// parallel array.
 void appendReferrals(json::object &out, const std::vector<PeerReferral> &daemons)
 {
     json::array addresses;
@@ -69,7 +70,7 @@
     out["domains"] = std::move(domains);
 }
 
-/// \param domains Of the addresses; null from an older release.
+/// \param domains Failure domains of the addresses; null if an older release sent the answer.
 [[nodiscard]] std::vector<PeerReferral> referralsOf(const json::value &addresses,
                                                     const json::value *domains)
 {
@@ -114,8 +115,8 @@
     return out;
 }
 
-/// Further collections of a question or an answer, in the form of the first, which has no array
-/// around it: a release that asks for one collection at a time reads that.
+/// Key of the array with the second and later collections of a query or answer. The first stands in
+/// the message itself, for compatibility with releases that query one collection at a time.
 constexpr std::string_view Further = "also";
 
 void append(json::object &out, const CollectionAnswer &answer)
@@ -175,7 +176,7 @@
     return {textOf(in.at("prefix")), ObjectVersion{in.at("after").to_number<std::uint64_t>()}};
 }
 
-/// \brief Writes the collections of a message, the first one into the message itself.
+/// \brief Writes the collections: the first into the message itself, the rest into an array.
 template <typename Collection>
 void appendAll(json::object &out, const std::vector<Collection> &collections)
 {
@@ -192,7 +193,7 @@
     }
 }
 
-/// \brief Reads what appendAll() has written.
+/// \brief Reads the collections that appendAll() wrote.
 template <typename Read>
 [[nodiscard]] auto readAll(const json::object &in, Read read)
 {
@@ -205,7 +206,8 @@
     return out;
 }
 
-/// \brief Nothing that another process sends may end the daemon.
+/// \brief Parses JSON and converts exceptions to an empty result, so that no input from another
+/// process can terminate the daemon.
 template <typename Result, typename Read>
 [[nodiscard]] std::optional<Result> parsed(std::string_view text, Read read)
 {
@@ -213,14 +215,14 @@
         const json::value root = parseLeniently(text);
         return read(root.as_object());
     } catch (const std::exception &) {
-        return std::nullopt; // The caller counts it as no answer, and says so.
+        return std::nullopt; // The caller treats and reports it as a missing answer.
     }
 }
 
 } // namespace
 
-// What has its usual value is left out: a daemon sends some of these each second, of 2 KB that
-// control may take.
+// Fields with default values are omitted: a daemon sends several queries per second, and its
+// control traffic may use no more than 2 KB per second.
 std::string toJson(const PeerQuery &query)
 {
     json::object out{{"asker", textOf(query.querier)}, {"domain", query.domain}};
@@ -313,7 +315,7 @@
     try {
         return makePatch({}, body);
     } catch (const std::runtime_error &) {
-        return std::nullopt; // For want of memory: it goes as it is, and says the same.
+        return std::nullopt; // Out of memory: the body is sent uncompressed.
     }
 }
 
--- a/src/wire/view_form.h
+++ b/src/wire/view_form.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Questions and answers between daemons about the directory, as JSON over HTTP.
+/// \brief JSON format of the directory queries and answers that daemons exchange over HTTP.
 
 #include "core/directory/peer_view.h"
 
@@ -10,23 +10,23 @@
 
 namespace baobabtrail::wire {
 
-/// Path at which a daemon answers questions, by POST.
+/// HTTP path for queries, sent with POST.
 inline constexpr std::string_view ViewPath = "/v1/view";
 
 [[nodiscard]] std::string toJson(const PeerQuery &query);
 [[nodiscard]] std::string toJson(const PeerAnswer &answer);
 
-/// \return The question, or nothing where the text is none.
+/// \return The query, or nothing if the text is not a valid one.
 [[nodiscard]] std::optional<PeerQuery> parseQuery(std::string_view text);
-/// \return The answer, or nothing where the text is none.
+/// \return The answer, or nothing if the text is not a valid one.
 [[nodiscard]] std::optional<PeerAnswer> parseAnswer(std::string_view text);
 
-/// Name of the coding of packed bodies, as HTTP has it.
+/// HTTP content coding of compressed bodies.
 inline constexpr std::string_view ContentCoding = "zstd";
 
-/// \return The body packed, or nothing where it is too short to be worth it, or the codec fails.
+/// \return The compressed body, or nothing if it is too short to gain from it or compression fails.
 [[nodiscard]] std::optional<std::string> compress(std::string_view body);
-/// \return The body, or nothing where it is not a packed one.
+/// \return The decompressed body, or nothing if the input is not a valid compressed body.
 [[nodiscard]] std::optional<std::string> decompress(std::string_view body);
 
 } // namespace baobabtrail::wire
