--- a/tests/wire/view_form_test.cpp
+++ b/tests/wire/view_form_test.cpp
@@ -73,7 +73,7 @@
 }
 
 // During a rolling update, older daemons answer without the path to the store. Their answers must
-// be accepted, with an empty lineage.
+// be accepted, not dropped, and count as those of a daemon that follows no other.
 Test(viewForm, acceptsAnswerWithoutLineage)
 {
     const auto read = wire::parseAnswer(
