--- a/standins/caller/feeds.cpp
+++ b/standins/caller/feeds.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration FirstRetransmission = 200ms;
-constexpr Duration LongestRetransmission = 2s;
+constexpr Duration MaxRetransmission = 2s;
 
 } // namespace
 
@@ -59,7 +59,7 @@
     m_send(FlowMessage{OpenFlow{feed.flow, m_settings.service, feed.resumes, feed.attempt}});
     ++feed.attempt;
     feed.nextSend = now + feed.retransmission;
-    feed.retransmission = std::min(feed.retransmission * 2, LongestRetransmission);
+    feed.retransmission = std::min(feed.retransmission * 2, MaxRetransmission);
 }
 
 void Feeds::sendInFlow(Feed &feed, TimePoint now)
--- a/standins/caller/requests.cpp
+++ b/standins/caller/requests.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration FirstRetransmission = 200ms;
-constexpr Duration LongestRetransmission = 1s;
+constexpr Duration MaxRetransmission = 1s;
 /// How much longer than its deadline a request waits for its outcome.
 constexpr Duration Grace = 1s;
 
@@ -80,7 +80,7 @@
 void Requests::send(const RequestId &id, Entry &entry, TimePoint now)
 {
     entry.nextSend = now + entry.retransmission;
-    entry.retransmission = std::min(entry.retransmission * 2, LongestRetransmission);
+    entry.retransmission = std::min(entry.retransmission * 2, MaxRetransmission);
     if (entry.state == State::Sent) {
         m_send(RequestMessage{RequestData{id, entry.token, entry.payload}});
         return;
--- a/standins/support/udp_port.h
+++ b/standins/support/udp_port.h
@@ -60,8 +60,8 @@
 
     void readAll()
     {
-        constexpr int mostAtOnce = 256;
-        for (int i = 0; i < mostAtOnce; ++i) {
+        constexpr int maxReadsAtOnce = 256;
+        for (int i = 0; i < maxReadsAtOnce; ++i) {
             boost::asio::ip::udp::endpoint from;
             boost::system::error_code error;
             const std::size_t size
--- a/standins/target/flow_table.cpp
+++ b/standins/target/flow_table.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-void FlowTable::forgetAll()
+void FlowTable::dropAll()
 {
     m_flows.clear();
     m_state.load.connections = 0;
--- a/standins/target/flow_table.h
+++ b/standins/target/flow_table.h
@@ -16,7 +16,7 @@
 
     [[nodiscard]] std::uint16_t port() const { return m_port.address().port; }
     /// \brief Loses track of every flow, without a word to anyone.
-    void forgetAll();
+    void dropAll();
 
 private:
     struct Flow
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -125,7 +125,7 @@
             else if (name == "reportFactor")
                 m_state.settings.reportFactor = value.to_number<double>();
             else if (name == "forgetFlows")
-                m_flows.forgetAll();
+                m_flows.dropAll();
             else
                 throw std::invalid_argument("no switch " + std::string{name});
         }
--- a/tests/standins/direct_caller_test.cpp
+++ b/tests/standins/direct_caller_test.cpp
@@ -18,9 +18,9 @@
 
 /// \brief A caller with a feed in one process, and in another one its target behind a daemon that
 /// forwards everything. Each process runs only when it is told to.
-struct Rig
+struct Fixture
 {
-    explicit Rig(const test::Ports &ports = test::freePorts(3))
+    explicit Fixture(const test::Ports &ports = test::freePorts(3))
         : target(far, {Loopback, ports[0]}, TargetNumber, "lending", ports[1], 1ms, runs)
         , daemon(far, {Loopback, ports[2]},
                  [this](std::string_view bytes, const Endpoint &) { forward(bytes); })
@@ -46,7 +46,7 @@
     }
 
     /// \brief The caller's process stands still while the other one goes on.
-    void callerStandsStill(std::chrono::milliseconds span)
+    void stallCaller(std::chrono::milliseconds span)
     {
         far.restart();
         far.run_for(span);
@@ -85,17 +85,17 @@
 Test(directCaller, anAnswerThatCameWithTheTimeoutIsTaken)
 {
     constexpr auto longerThanAnyWait = 250ms;
-    Rig rig;
-    rig.caller.feed({0xC6120001, 443}, "lending", 20ms);
+    Fixture fixture;
+    fixture.caller.feed({0xC6120001, 443}, "lending", 20ms);
     for (int pause = 0; pause < 3; ++pause) {
-        rig.untilNextRequest();
-        rig.callerStandsStill(longerThanAnyWait);
-        rig.runBoth(10ms);
-        cr_assert_eq(rig.ranTwice(), 0U);
+        fixture.untilNextRequest();
+        fixture.stallCaller(longerThanAnyWait);
+        fixture.runBoth(10ms);
+        cr_assert_eq(fixture.ranTwice(), 0U);
     }
-    const std::size_t before = rig.runs.record.size();
-    rig.runBoth(300ms);
-    cr_assert_eq(rig.ranTwice(), 0U);
-    cr_assert_gt(rig.runs.record.size(), before, "the feed hangs");
-    cr_assert_eq(rig.answers.timedOut, 0U);
+    const std::size_t before = fixture.runs.record.size();
+    fixture.runBoth(300ms);
+    cr_assert_eq(fixture.ranTwice(), 0U);
+    cr_assert_gt(fixture.runs.record.size(), before, "the feed hangs");
+    cr_assert_eq(fixture.answers.timedOut, 0U);
 }
--- a/tests/standins/direct_target_test.cpp
+++ b/tests/standins/direct_target_test.cpp
@@ -14,9 +14,9 @@
 constexpr std::uint32_t TargetSequence = 700000; ///< Of a target with this id.
 
 /// \brief A target, and packets to it as a daemon sends them.
-struct Rig
+struct Fixture
 {
-    explicit Rig(const test::Ports &ports = test::freePorts(2))
+    explicit Fixture(const test::Ports &ports = test::freePorts(2))
         : target(context, {Loopback, ports[0]}, Id, "lending", ports[1], 1ms, log)
         , daemon(context, {Loopback, 0}, [](std::string_view, const Endpoint &) {})
         , caller{Loopback, ports[1]}
@@ -53,19 +53,20 @@
 // opening and then of the request, both of before the flow's end.
 Test(directTarget, anEndedFlowRunsNothingMore)
 {
-    Rig rig;
+    Fixture fixture;
     const std::string request = "lending 1";
     const auto openAndAsk = [&] {
-        rig.send(Packet::Syn, CallerSequence, 0, "");
-        rig.send(Packet::Ack, CallerSequence + 1, TargetSequence + 1, request);
+        fixture.send(Packet::Syn, CallerSequence, 0, "");
+        fixture.send(Packet::Ack, CallerSequence + 1, TargetSequence + 1, request);
     };
     openAndAsk();
-    cr_assert_eq(rig.log.runs.at("1"), 1);
-    cr_assert_eq(rig.log.record.size(), 1U);
-    cr_assert(rig.log.record.front().target == Id && rig.log.record.front().caller == rig.caller);
-    rig.send(Packet::Ack | Packet::Fin,
-             CallerSequence + 1 + static_cast<std::uint32_t>(request.size()), TargetSequence + 2,
-             "");
+    cr_assert_eq(fixture.log.runs.at("1"), 1);
+    cr_assert_eq(fixture.log.record.size(), 1U);
+    cr_assert(fixture.log.record.front().target == Id
+              && fixture.log.record.front().caller == fixture.caller);
+    fixture.send(Packet::Ack | Packet::Fin,
+                 CallerSequence + 1 + static_cast<std::uint32_t>(request.size()),
+                 TargetSequence + 2, "");
     openAndAsk();
-    cr_assert_eq(rig.log.runs.at("1"), 1);
+    cr_assert_eq(fixture.log.runs.at("1"), 1);
 }
--- a/tests/standins/target_test.cpp
+++ b/tests/standins/target_test.cpp
@@ -56,7 +56,7 @@
 }
 
 /// \brief A target without pushes, whose uplink is a socket of the test.
-struct TargetBench
+struct TargetFixture
 {
     Socket uplink;
     Socket daemon;
@@ -74,32 +74,33 @@
 
 Test(targetStandin, acceptsItsFlowsAndResetsOthers)
 {
-    TargetBench bench;
+    TargetFixture fixture;
     const FlowId flow{5};
     TargetDatagram open = datagramFor("lending", OpenFlow{flow, {}, {}, 0});
-    open.replyTo = bench.daemon.endpoint();
-    bench.send(open);
-    cr_assert(std::holds_alternative<AcceptFlow>(bodyOf(bench.daemon.receive())));
+    open.replyTo = fixture.daemon.endpoint();
+    fixture.send(open);
+    cr_assert(std::holds_alternative<AcceptFlow>(bodyOf(fixture.daemon.receive())));
 
     const auto data = datagramFor("lending", FlowData{flow, open.token, "hello"});
-    bench.send(data);
-    cr_assert_eq(std::get<FlowData>(bodyOf(bench.uplink.receive())).payload, "hello");
+    fixture.send(data);
+    cr_assert_eq(std::get<FlowData>(bodyOf(fixture.uplink.receive())).payload, "hello");
 
-    bench.send(datagramFor("catalogue", KeepAlive{flow, {}, 0}));
-    cr_assert(std::get<ResetFlow>(bodyOf(bench.uplink.receive())).cause
+    fixture.send(datagramFor("catalogue", KeepAlive{flow, {}, 0}));
+    cr_assert(std::get<ResetFlow>(bodyOf(fixture.uplink.receive())).cause
               == ResetCause::WrongService);
 
-    bench.send(datagramFor("lending", CloseFlow{flow, open.token}));
-    bench.send(data);
-    cr_assert(std::get<ResetFlow>(bodyOf(bench.uplink.receive())).cause == ResetCause::UnknownFlow);
+    fixture.send(datagramFor("lending", CloseFlow{flow, open.token}));
+    fixture.send(data);
+    cr_assert(std::get<ResetFlow>(bodyOf(fixture.uplink.receive())).cause
+              == ResetCause::UnknownFlow);
 }
 
 Test(targetStandin, shedsCancelsAndExpiresBeforeTheStart)
 {
-    TargetBench bench;
+    TargetFixture fixture;
     asio::io_context context;
     asio::ip::tcp::socket link{context};
-    link.connect({asio::ip::address_v4::loopback(), bench.target.ports().at("requests")});
+    link.connect({asio::ip::address_v4::loopback(), fixture.target.ports().at("requests")});
     link.set_option(asio::ip::tcp::no_delay{true});
     wire::LinkReader reader;
     std::vector<LinkMessage> inbox;
