--- a/standins/support/http_server.h
+++ b/standins/support/http_server.h
@@ -22,7 +22,8 @@
 namespace http = boost::beast::http;
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
-/// Sends the response; nothing closes the connection without an answer. May be called later.
+/// \brief Sends the response; an empty optional closes the connection without one. May be called
+/// after the handler has returned.
 using HttpReply = std::function<void(std::optional<HttpResponse>)>;
 using HttpHandler = std::function<void(const HttpRequest &, const HttpReply &)>;
 
@@ -40,7 +41,7 @@
     return out;
 }
 
-/// \brief One connection; requests are answered one after the other.
+/// \brief One HTTP connection; handles one request at a time.
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
@@ -94,11 +95,11 @@
     HttpResponse m_response;
 };
 
-/// \brief A small HTTP server on 127.0.0.1.
+/// \brief A minimal HTTP server on 127.0.0.1.
 class HttpServer
 {
 public:
-    /// \param port 0 for any free one.
+    /// \param port Port to listen on; 0 lets the kernel choose a free one.
     HttpServer(boost::asio::io_context &context, std::uint16_t port, HttpHandler handler)
         : m_acceptor(context, {boost::asio::ip::address_v4::loopback(), port})
         , m_handler(std::move(handler))
@@ -140,7 +141,7 @@
     return out;
 }
 
-/// \brief A request's target, taken apart.
+/// \brief A request target split into its decoded path and query parameters.
 struct UrlParts
 {
     std::string path;
--- a/standins/support/standin_process.h
+++ b/standins/support/standin_process.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief What the main functions of the stand-ins share.
+/// \brief Helpers shared by the stand-in programs.
 
 #include "core/endpoint.h"
 #include "core/random.h"
@@ -36,10 +36,11 @@
     std::cout << "ready";
     for (const auto &[name, port] : ports)
         std::cout << ' ' << name << '=' << port;
-    std::cout << std::endl; // Flushed: a script reads it through a pipe.
+    std::cout << std::endl; // Flush, since a script reads it through a pipe.
 }
 
-/// \throws std::invalid_argument where the text is no address.
+/// \brief Parses a flag of the form ADDRESS:PORT.
+/// \throws std::invalid_argument if the text can't be parsed.
 [[nodiscard]] inline Endpoint endpointFlag(const std::string &text)
 {
     const auto endpoint = parseEndpoint(text);
@@ -48,7 +49,7 @@
     return *endpoint;
 }
 
-/// \brief Calls back on SIGTERM or SIGINT.
+/// \brief Invokes a callback on the first SIGTERM or SIGINT.
 class StopSignal
 {
 public:
@@ -65,7 +66,7 @@
     boost::asio::signal_set m_signals;
 };
 
-/// \brief Calls back again and again.
+/// \brief Invokes a callback periodically.
 class Ticker
 {
 public:
@@ -94,13 +95,13 @@
     std::function<void()> m_tick;
 };
 
-/// \return Whether an event of the given probability happens.
+/// \return True with the given probability.
 [[nodiscard]] inline bool chance(Random &random, double probability)
 {
     return probability > 0 && boost::random::uniform_01<double>{}(random) < probability;
 }
 
-/// \return A time of exponential distribution.
+/// \return A duration drawn from an exponential distribution with the given mean.
 [[nodiscard]] inline Duration exponential(Random &random, Duration mean)
 {
     const double scale = boost::random::exponential_distribution<double>{1.0}(random);
--- a/standins/support/udp_port.h
+++ b/standins/support/udp_port.h
@@ -12,13 +12,13 @@
 
 namespace baobabtrail::standins {
 
-/// \brief A UDP port on 127.0.0.1.
+/// \brief A non-blocking UDP socket bound to 127.0.0.1.
 class UdpPort
 {
 public:
     using Receive = std::function<void(const Endpoint &from, std::string_view bytes)>;
 
-    /// \param port 0 for any free one.
+    /// \param port Port to bind; 0 lets the kernel choose a free one.
     UdpPort(boost::asio::io_context &context, std::uint16_t port, Receive receive)
         : m_socket(context, {boost::asio::ip::address_v4::loopback(), port})
         , m_receive(std::move(receive))
@@ -38,7 +38,7 @@
         return {local.address().to_v4().to_uint(), local.port()};
     }
 
-    /// \brief Sends at once; what the kernel doesn't take is lost, as in a network.
+    /// \brief Sends without queueing; a datagram that the kernel rejects is lost, as on a network.
     void send(const Endpoint &to, std::string_view bytes)
     {
         boost::system::error_code ignored;
