--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -1,12 +1,12 @@
 /// \file
-/// \brief Stand-in for the platform: object store and VM list, with faults on demand.
+/// \brief Stand-in for the platform: an object store and a VM list, with fault injection.
 
 #include "command_line.h"
 #include "platform/platform_service.h"
 #include "support/standin_process.h"
 
 DEFINE_uint32(port, 0, "TCP port; 0 for a free one");
-DEFINE_uint64(seed, 1, "seed of what is drawn at random");
+DEFINE_uint64(seed, 1, "seed of the random number generator");
 DEFINE_double(writes_per_second, 0, "limit on writes; 0 for none");
 DEFINE_double(reads_per_second, 0, "limit on reads; 0 for none");
 DEFINE_uint64(vm_lag_ms, 0, "milliseconds by which the VM list lags");
--- a/standins/platform/object_store.h
+++ b/standins/platform/object_store.h
@@ -12,11 +12,11 @@
 
 namespace baobabtrail::standins {
 
-/// \brief An object as the store's API shows it.
+/// \brief An object of the store with its metadata.
 struct Object
 {
     std::string name;
-    std::uint64_t revision = 0; ///< Of its last change.
+    std::uint64_t revision = 0; ///< Store revision of its last change.
     std::uint64_t created = 0;
     boost::json::array finalizers;
     bool deleting = false;
@@ -36,7 +36,7 @@
     }
 };
 
-/// \brief A change of one object, for watches.
+/// \brief A change of one object, as reported to watches.
 struct ObjectEvent
 {
     std::string kind;
@@ -44,7 +44,8 @@
     bool deleted = false;
 };
 
-/// \brief Objects by kind and name, one revision over the whole store, and the history of changes.
+/// \brief An in-memory object store: objects by kind and name, one revision counter for the whole
+/// store, and the change history that watches read.
 class ObjectStore
 {
 public:
@@ -57,7 +58,7 @@
         return found == objects->second.end() ? nullptr : &found->second;
     }
 
-    /// \brief Creates or replaces an object; a write that changes nothing leaves no trace.
+    /// \brief Creates or replaces an object; a write without a change gets no revision or event.
     const Object &put(const std::string &kind, Object object)
     {
         Object &known = m_kinds[kind][object.name];
@@ -82,7 +83,7 @@
         m_history.push_back({kind, std::move(last), true});
     }
 
-    /// \return Up to \a limit objects behind \a after, in the order of their names.
+    /// \return Up to \a limit objects whose names follow \a after, ordered by name.
     [[nodiscard]] std::vector<Object> list(const std::string &kind, const std::string &after,
                                            std::size_t limit) const
     {
@@ -96,7 +97,8 @@
         return out;
     }
 
-    /// \return Changes of a kind since a revision, or nothing where they are no longer known.
+    /// \return Changes of a kind after a revision, or std::nullopt if the history was compacted
+    /// past that revision.
     [[nodiscard]] std::optional<std::vector<ObjectEvent>> since(const std::string &kind,
                                                                 std::uint64_t revision) const
     {
@@ -110,7 +112,7 @@
         return out;
     }
 
-    /// \brief Drops the history: watches from an earlier revision get 410.
+    /// \brief Drops the change history; watches from an earlier revision get 410.
     void compact()
     {
         m_history.clear();
--- a/standins/platform/platform_service.cpp
+++ b/standins/platform/platform_service.cpp
@@ -20,7 +20,7 @@
     return request.method() != http::verb::get;
 }
 
-/// \return The revision that a call expects of its object; 0 where it expects none.
+/// \return The revision that a conditional write expects of its object; 0 for an unconditional one.
 [[nodiscard]] std::uint64_t expectedRevision(const boost::json::object &body)
 {
     const boost::json::value *meta = body.if_contains("meta");
@@ -117,7 +117,7 @@
         else if (name == "pageObjects")
             m_switches.pageObjects = value.to_number<std::uint64_t>();
         else
-            throw std::invalid_argument("no switch " + std::string{name});
+            throw std::invalid_argument("unknown switch " + std::string{name});
     }
     if (m_switches.down)
         dropWatches();
--- a/standins/platform/platform_service.h
+++ b/standins/platform/platform_service.h
@@ -13,29 +13,29 @@
 
 namespace baobabtrail::standins {
 
-/// \brief Faults that tests switch on; see docs/FAULTS.md.
+/// \brief Faults and limits that tests set by PUT /control/switches; see docs/FAULTS.md.
 struct Switches
 {
-    bool down = false;             ///< Connections are dropped without an answer.
-    bool busy = false;             ///< Every call gets 503.
-    bool silent = false;           ///< No call is ever answered.
-    std::uint64_t slow = 0;        ///< Milliseconds that an answer takes on average.
-    std::uint64_t loseReplies = 0; ///< So many writes take effect and are not answered.
-    double writesPerSecond = 0;    ///< 0 for no limit.
+    bool down = false;             ///< Closes connections without an answer.
+    bool busy = false;             ///< Answers every call with 503.
+    bool silent = false;           ///< Never answers a call.
+    std::uint64_t slow = 0;        ///< Mean delay of an answer, in milliseconds.
+    std::uint64_t loseReplies = 0; ///< Number of writes to apply without answering.
+    double writesPerSecond = 0;    ///< 0 for unlimited.
     double readsPerSecond = 0;
-    bool silentWatch = false; ///< Watches are never answered, not even when their wait is over.
-    std::uint64_t vmLag = 0;  ///< Milliseconds by which the VM list lags.
-    std::uint64_t pageObjects = 500; ///< Objects in one page of a list.
+    bool silentWatch = false; ///< Never answers watches, not even when their wait time is over.
+    std::uint64_t vmLag = 0;  ///< Age of the served VM list, in milliseconds.
+    std::uint64_t pageObjects = 500; ///< Maximum number of objects in a page of a list.
 };
 
-/// \brief The platform's store as its page describes it, and its switches.
+/// \brief HTTP API of the platform's object store and VM list, with a control API for tests.
 ///
-/// | call | what |
+/// | call | effect |
 /// |---|---|
-/// | GET /baobabtrail/objects/KIND?after=NAME | a page of a kind |
-/// | GET /baobabtrail/objects/KIND?watch=REVISION&wait_ms=N | changes, or 410 |
-/// | GET, PUT, DELETE /baobabtrail/objects/KIND/NAME | one object |
-/// | POST /baobabtrail/objects/KIND | creates one |
+/// | GET /baobabtrail/objects/KIND?after=NAME | one page of a kind's objects |
+/// | GET /baobabtrail/objects/KIND?watch=REVISION&wait_ms=N | later changes, or 410 |
+/// | GET, PUT, DELETE /baobabtrail/objects/KIND/NAME | reads, replaces or deletes an object |
+/// | POST /baobabtrail/objects/KIND | creates an object |
 /// | PUT /control/switches, /control/vms/ID, POST /control/compact; GET /control/counts | tests |
 class PlatformService
 {
@@ -52,11 +52,11 @@
         HttpReply reply;
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
-    /// \brief A path below the objects' own.
+    /// \brief Kind and name parsed from a path below /baobabtrail/objects/.
     struct Place
     {
         std::string kind;
-        std::string name; ///< Empty for the kind.
+        std::string name; ///< Empty if the path addresses the kind as a whole.
     };
 
     void control(const HttpRequest &request, const UrlParts &url, const HttpReply &reply);
--- a/standins/platform/rate_limit.h
+++ b/standins/platform/rate_limit.h
@@ -6,11 +6,11 @@
 
 namespace baobabtrail::standins {
 
-/// \brief Lets through so many calls a second; a second's worth may come at once.
+/// \brief Token bucket; its burst size is the number of calls allowed per second.
 class RateLimit
 {
 public:
-    /// \param perSecond 0 for no limit.
+    /// \param perSecond Calls allowed per second; 0 for unlimited.
     void set(double perSecond) noexcept
     {
         m_perSecond = perSecond;
--- a/standins/platform/vm_registry.h
+++ b/standins/platform/vm_registry.h
@@ -11,11 +11,11 @@
 
 namespace baobabtrail::standins {
 
-/// \brief The list of VMs, seen as it was some time ago.
+/// \brief The list of VMs, with its history so that reads can lag behind writes.
 class VmRegistry
 {
 public:
-    /// \param vm An object with domain, address, records and leaving.
+    /// \param vm An object with domain, address, records and optionally leaving (default false).
     void put(std::uint64_t daemon, boost::json::object vm, TimePoint now)
     {
         vm["daemon"] = daemon;
@@ -31,7 +31,7 @@
         remember(now);
     }
 
-    /// \return {"vms": [...]} as it was \a lag ago.
+    /// \return {"vms": [...]} as of \a now minus \a lag.
     [[nodiscard]] boost::json::value list(TimePoint now, Duration lag)
     {
         while (m_history.size() > 1 && m_history[1].first <= now - lag)
