--- a/standins/fabric/fabric.cpp
+++ b/standins/fabric/fabric.cpp
@@ -94,7 +94,7 @@
         else if (url.path.starts_with(MembersPath))
             setMember(request, url.path.substr(MembersPath.size()));
         else
-            throw std::invalid_argument("no such path");
+            throw std::invalid_argument("unknown path");
         reply(response(http::status::no_content));
     } catch (const std::exception &error) {
         reply(response(http::status::bad_request, std::string{error.what()} + '\n'));
@@ -126,7 +126,7 @@
             for (const auto &address : value.as_array())
                 m_switches.cut.insert(endpointFlag(textOf(address)));
         } else {
-            throw std::invalid_argument("no switch " + std::string{name});
+            throw std::invalid_argument("unknown switch " + std::string{name});
         }
     }
 }
--- a/standins/fabric/fabric.h
+++ b/standins/fabric/fabric.h
@@ -10,17 +10,17 @@
 
 namespace baobabtrail::standins {
 
-/// \brief What is made to go wrong; set by PUT /switches with any of these names.
+/// \brief Injected network faults; PUT /switches sets any of them by name.
 struct FabricSwitches
 {
-    double loss = 0;           ///< Probability for each datagram.
-    double duplicate = 0;      ///< Probability of a second copy, which goes to any daemon too.
-    std::uint64_t delay = 0;   ///< Microseconds for every datagram.
-    std::uint64_t reorder = 0; ///< Up to so many microseconds more, drawn for each datagram.
-    std::set<Endpoint> cut;    ///< Members whose share is lost.
+    double loss = 0;           ///< Loss probability of each datagram.
+    double duplicate = 0;      ///< Probability of a second copy, sent to a random daemon too.
+    std::uint64_t delay = 0;   ///< Delay of every datagram, in microseconds.
+    std::uint64_t reorder = 0; ///< Maximum extra random delay of each datagram, in microseconds.
+    std::set<Endpoint> cut;    ///< Members whose datagrams are dropped.
 };
 
-/// \brief Sprays datagrams of callers and targets over the daemons, each with a PROXY header.
+/// \brief Forwards each datagram of callers and targets to a random daemon, behind a PROXY header.
 class Fabric
 {
 public:
@@ -30,7 +30,7 @@
     void add(const Endpoint &daemon);
     void remove(const Endpoint &daemon);
 
-    /// \brief PUT and DELETE /members/ADDRESS, PUT /switches, GET /stats.
+    /// \brief Control API: PUT and DELETE /members/ADDRESS, PUT /switches, GET /stats.
     void handle(const HttpRequest &request, const HttpReply &reply);
 
     [[nodiscard]] std::uint16_t callersPort() const { return m_callers.address().port; }
--- a/standins/fabric/main.cpp
+++ b/standins/fabric/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Stand-in for the fabric: hands each datagram to any daemon.
+/// \brief Stand-in for the network fabric: forwards each datagram to a random daemon.
 
 #include "command_line.h"
 #include "fabric/fabric.h"
@@ -10,9 +10,9 @@
 
 DEFINE_uint32(callers_port, 0, "UDP port that callers send to; 0 for a free one");
 DEFINE_uint32(uplink_port, 0, "UDP port that targets send to; 0 for a free one");
-DEFINE_uint32(control_port, 0, "TCP port of the switches; 0 for a free one");
+DEFINE_uint32(control_port, 0, "TCP port of the control API; 0 for a free one");
 DEFINE_string(members, "", "addresses of the daemons' data ports, separated by commas");
-DEFINE_uint64(seed, 1, "seed of what is drawn at random");
+DEFINE_uint64(seed, 1, "seed of the random number generator");
 
 int main(int argc, char **argv)
 {
