--- a/standins/target/flow_table.cpp
+++ b/standins/target/flow_table.cpp
@@ -108,12 +108,12 @@
     found->second.caller = datagram.caller;
     found->second.heard = now();
     if (found->second.token.epoch < datagram.token.epoch)
-        found->second.token = datagram.token; // Renewed under a newer key.
+        found->second.token = datagram.token; // Token renewed under a newer key epoch.
     if (std::holds_alternative<KeepAlive>(datagram.body))
         reply.body = KeepAliveAck{id, datagram.token};
     else if (!std::holds_alternative<FlowData>(datagram.body))
         return;
-    send(Endpoint{}, reply); // FlowData goes back as it came.
+    send(Endpoint{}, reply); // FlowData is echoed unchanged.
 }
 
 void FlowTable::tick()
--- a/standins/target/flow_table.h
+++ b/standins/target/flow_table.h
@@ -8,14 +8,14 @@
 
 namespace baobabtrail::standins {
 
-/// \brief The flows of a target, over UDP.
+/// \brief Accepts, answers and expires the flows of a target over UDP.
 class FlowTable
 {
 public:
     FlowTable(boost::asio::io_context &context, std::uint16_t port, TargetState &state);
 
     [[nodiscard]] std::uint16_t port() const { return m_port.address().port; }
-    /// \brief Loses track of every flow, without a word to anyone.
+    /// \brief Drops the state of every flow without notifying callers or daemons.
     void dropAll();
 
 private:
@@ -28,13 +28,13 @@
     };
 
     void receive(const Endpoint &from, std::string_view bytes);
-    /// \return Whether the datagram is for this service, target and generation.
+    /// \return Whether the token names this service and target and no outdated generation.
     [[nodiscard]] bool isMine(const FlowToken &token);
     void open(const Endpoint &from, const TargetDatagram &datagram, const OpenFlow &ask);
     void inFlow(const TargetDatagram &datagram);
     void tick();
     void push(FlowId id, Flow &flow);
-    /// \param via Daemon that waits, or null for the fabric.
+    /// \param via Daemon that waits for the reply; a null endpoint sends through the fabric.
     void send(const Endpoint &via, const TargetDatagram &datagram);
 
     TargetState &m_state;
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Stand-in for a target: holds flows and runs requests; records every run.
+/// \brief Stand-in for a target: serves flows and requests and records every request run.
 
 #include "command_line.h"
 #include "support/http_server.h"
@@ -9,25 +9,27 @@
 
 #include <sstream>
 
-// Workspaces are called tenants in flags.
+// The flag keeps the name tenant; the code says workspace.
 DEFINE_string(tenant, "alexandria", "tenant of the service");
 DEFINE_string(service, "lending", "name of the service");
 DEFINE_string(name, "t1", "name of the target");
 DEFINE_uint32(flows_port, 0, "UDP port; 0 for a free one");
 DEFINE_uint32(requests_port, 0, "TCP port; 0 for a free one");
-DEFINE_uint32(control_port, 0, "TCP port of the switches; 0 for a free one");
+DEFINE_uint32(control_port, 0, "TCP port of the control API; 0 for a free one");
 DEFINE_string(uplink, "", "the fabric's address for targets");
-DEFINE_uint32(slots, 2, "requests that run at once");
-DEFINE_uint32(queue, 4, "requests that wait; more are shed");
-DEFINE_uint32(max_flows, 4000, "flows that are held at once");
+DEFINE_uint32(slots, 2, "requests that run concurrently");
+DEFINE_uint32(queue, 4, "length of the request queue; requests beyond it are shed");
+DEFINE_uint32(max_flows, 4000, "maximum number of open flows");
 DEFINE_uint64(service_us, 20000, "mean service time in microseconds");
-DEFINE_string(distribution, "exponential", "of the service time: exponential or fixed");
-DEFINE_uint64(cold_ms, 0, "time after the start in which service takes five times as long");
-DEFINE_uint64(report_lag_ms, 0, "age of the load that is reported");
-DEFINE_double(report_factor, 1.0, "what is reported is the load times this");
+DEFINE_string(distribution, "exponential",
+              "distribution of the service time: exponential or fixed");
+DEFINE_uint64(cold_ms, 0,
+              "time after the start during which the service time is five times as long");
+DEFINE_uint64(report_lag_ms, 0, "age of the reported load");
+DEFINE_double(report_factor, 1.0, "factor by which the reported load differs from the actual one");
 DEFINE_uint64(push_ms, 1000, "time between two messages pushed on a flow; 0 for none");
 DEFINE_uint64(answer_bytes, 3000, "size of an answer");
-DEFINE_uint64(seed, 1, "seed of what is drawn at random");
+DEFINE_uint64(seed, 1, "seed of the random number generator");
 
 namespace {
 
@@ -70,7 +72,7 @@
     return out;
 }
 
-/// \return Each request that ran, with the number of runs.
+/// \return Number of runs by request id.
 [[nodiscard]] boost::json::object runsOf(const TargetState &state)
 {
     boost::json::object out;
@@ -82,8 +84,8 @@
     return out;
 }
 
-/// \brief GET /stats and /runs; PUT /switches with draining, shedding, serviceMicroseconds,
-/// reportFactor or forgetFlows.
+/// \brief Control API: GET /stats and /runs; PUT /switches with draining, shedding,
+/// serviceMicroseconds, reportFactor or forgetFlows.
 class Control
 {
 public:
@@ -127,7 +129,7 @@
             else if (name == "forgetFlows")
                 m_flows.dropAll();
             else
-                throw std::invalid_argument("no switch " + std::string{name});
+                throw std::invalid_argument("unknown switch " + std::string{name});
         }
     }
 
@@ -139,7 +141,8 @@
 
 int main(int argc, char **argv)
 {
-    baobabtrail::readFlags(argc, argv, "standin-target [flags]: a target of own frames");
+    baobabtrail::readFlags(argc, argv,
+                           "standin-target [flags]: a target of the native frame protocol");
     boost::asio::io_context context;
     TargetState state{settingsFromFlags()};
     FlowTable flows{context, static_cast<std::uint16_t>(FLAGS_flows_port), state};
--- a/standins/target/request_server.cpp
+++ b/standins/target/request_server.cpp
@@ -99,7 +99,7 @@
         return waiting.dispatch.attempt == cancel.attempt && waiting.from.lock() == from;
     });
     if (found == m_queue.end())
-        return; // Runs already or has ended: the owner hears of its end.
+        return; // Already running or finished; the owner is notified when it finishes.
     m_queue.erase(found);
     refuse(from, cancel.attempt, RefusalCause::Cancelled, "cancelled");
 }
@@ -111,7 +111,7 @@
         m_queue.pop_front();
         const Connection from = next.from.lock();
         if (!from)
-            continue; // Its owner can't learn the outcome any more.
+            continue; // The owner's connection is closed, so the outcome can't be reported.
         if (next.deadline <= now())
             refuse(from, next.dispatch.attempt, RefusalCause::DeadlinePassed, "expired");
         else
--- a/standins/target/request_server.h
+++ b/standins/target/request_server.h
@@ -13,7 +13,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief A connection that the owner of this target opened.
+/// \brief A TCP connection from the daemon that owns this target.
 class OwnerConnection : public std::enable_shared_from_this<OwnerConnection>
 {
 public:
@@ -39,7 +39,8 @@
     std::string m_writing;
 };
 
-/// \brief The slots of a target and the queue before them, over TCP.
+/// \brief Runs the requests of a target over TCP, in a fixed number of slots behind a bounded
+/// queue.
 class RequestServer
 {
 public:
--- a/standins/target/target_state.h
+++ b/standins/target/target_state.h
@@ -14,7 +14,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief What the flows and the requests of a target share: load, switches and counts.
+/// \brief State shared by the flows and requests of a target: load, switches and counters.
 struct TargetState
 {
     explicit TargetState(TargetSettings s)
@@ -27,17 +27,17 @@
     TargetSettings settings;
     Random random;
     TimePoint started;
-    LoadReport load;       ///< As it is.
+    LoadReport load;       ///< Actual load.
     bool draining = false; ///< Refuses new flows and sheds new requests.
     bool shedding = false; ///< Sheds new requests.
-    Generation generation; ///< Newest that a daemon named.
+    Generation generation; ///< Newest one seen from a daemon.
     std::map<std::string, std::uint64_t> counts;
     std::map<RequestId, std::uint32_t> runs; ///< How often each request was started.
     std::deque<std::pair<TimePoint, LoadReport>> history;
 
     void count(const std::string &name) { ++counts[name]; }
 
-    /// \return The load as the target reports it: late, and perhaps not true.
+    /// \return The load as reported: delayed by the report lag and scaled by the report factor.
     [[nodiscard]] LoadReport reported()
     {
         const TimePoint time = now();
