--- a/standins/caller/caller_settings.h
+++ b/standins/caller/caller_settings.h
@@ -9,22 +9,22 @@
 
 namespace baobabtrail::standins {
 
-/// \brief What a caller does.
+/// \brief Traffic that a caller generates.
 struct CallerSettings
 {
     Endpoint fabric;
     ServiceId service;
     std::uint32_t feeds = 0;
     double requestsPerSecond = 0;
-    std::uint64_t maxRequests = 0; ///< Bound on all requests together.
+    std::uint64_t maxRequests = 0; ///< Maximum number of requests in total.
     RequestClass requestClass = RequestClass::Normal;
     bool idempotent = false;
     Duration deadline = 3s;
     std::size_t payloadBytes = 200;
     Duration keepAlivePeriod = 1s;
-    Duration dataPeriod = 1s;       ///< Between two messages on a feed.
+    Duration dataPeriod = 1s;       ///< Time between messages on a feed.
     std::uint32_t silentLimit = 10; ///< Unanswered keep-alives after which a feed is reopened.
-    double loss = 0;                ///< Probability for each datagram that arrives.
+    double loss = 0;                ///< Drop probability of each received datagram.
     std::uint64_t seed = 1;
 };
 
--- a/standins/caller/feeds.cpp
+++ b/standins/caller/feeds.cpp
@@ -48,7 +48,7 @@
     feed.flow = newFlow();
     feed.resumes = resumes;
     feed.retransmission = FirstRetransmission;
-    // Spread over a second, so that a caller with many feeds doesn't open all in one instant.
+    // Spread over one second, so that a caller with many feeds doesn't open all of them at once.
     boost::random::uniform_int_distribution<std::int64_t> spread{0, Duration{1s}.count()};
     feed.nextSend = now + Duration{spread(m_random)};
     m_byFlow[feed.flow] = static_cast<std::size_t>(&feed - m_feeds.data());
@@ -98,12 +98,12 @@
 void Feeds::on(Feed &feed, const AcceptFlow &message, TimePoint now)
 {
     if (feed.state == State::Open) {
-        // A second open went to another target: the copy there is given back.
+        // A retransmitted open reached another target; close the duplicate flow there.
         if (message.token.target != feed.token.target) {
             ++m_counts["copiesClosed"];
             m_send(FlowMessage{CloseFlow{feed.flow, message.token}});
         } else if (feed.token.epoch < message.token.epoch) {
-            feed.token = message.token; // Renewed under a newer key.
+            feed.token = message.token; // Token renewed under a newer key epoch.
         }
         return;
     }
--- a/standins/caller/feeds.h
+++ b/standins/caller/feeds.h
@@ -14,7 +14,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief Feeds that are held open for as long as the caller runs.
+/// \brief Long-lived flows that stay open while the caller runs.
 class Feeds
 {
 public:
@@ -22,7 +22,7 @@
 
     Feeds(const CallerSettings &settings, Random &random, Send send);
 
-    /// \brief Opens, sends, asks for signs of life, as each falls due.
+    /// \brief Sends the opens, data and keep-alives that are due.
     void tick(TimePoint now);
     void receive(const FlowMessage &message, TimePoint now);
     void closeAll();
@@ -39,7 +39,7 @@
         FlowId resumes;
         std::uint32_t attempt = 0;
         FlowToken token;
-        TimePoint nextSend; ///< Of an OpenFlow, or of a KeepAlive once it is open.
+        TimePoint nextSend; ///< Time of the next OpenFlow, or KeepAlive once open.
         Duration retransmission{0};
         TimePoint nextData;
         std::uint32_t unanswered = 0;
--- a/standins/caller/main.cpp
+++ b/standins/caller/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Stand-in for callers: holds feeds open and sends requests; counts what becomes of them.
+/// \brief Stand-in for callers: keeps feeds open, sends requests and counts their outcomes.
 
 #include "caller/feeds.h"
 #include "caller/requests.h"
@@ -10,23 +10,23 @@
 #include "wire/codec.h"
 
 DEFINE_string(fabric, "", "the fabric's address for callers");
-// Workspaces are called tenants in flags.
+// The flag keeps the name tenant; the code says workspace.
 DEFINE_string(tenant, "alexandria", "tenant of the service");
 DEFINE_string(service, "lending", "name of the service");
-DEFINE_uint32(feeds, 0, "feeds that are held open");
-DEFINE_double(rate, 0, "requests a second");
-DEFINE_uint64(max_requests, 100000, "bound on all requests together");
+DEFINE_uint32(feeds, 0, "number of feeds to keep open");
+DEFINE_double(rate, 0, "requests per second");
+DEFINE_uint64(max_requests, 100000, "maximum number of requests in total");
 DEFINE_string(request_class, "normal", "urgent, normal or bulk");
 DEFINE_bool(idempotent, false, "whether a request may run more than once");
-DEFINE_uint64(deadline_ms, 3000, "time that a request has");
+DEFINE_uint64(deadline_ms, 3000, "deadline of a request");
 DEFINE_uint64(payload_bytes, 200, "size of a request");
 DEFINE_uint64(keepalive_ms, 1000, "time between two keep-alives of a feed");
 DEFINE_uint64(data_ms, 1000, "time between two messages on a feed");
-DEFINE_uint32(silent_limit, 10, "unanswered keep-alives after which a feed is opened anew");
-DEFINE_double(loss, 0, "probability that a datagram which arrives is dropped");
-DEFINE_uint64(seconds, 10, "time until it starts no more requests; it ends when all have ended");
+DEFINE_uint32(silent_limit, 10, "unanswered keep-alives after which a feed is reopened");
+DEFINE_double(loss, 0, "drop probability of each received datagram");
+DEFINE_uint64(seconds, 10, "time during which requests are started; exits once all have finished");
 DEFINE_uint32(control_port, 0, "TCP port of GET /stats; 0 for a free one");
-DEFINE_uint64(seed, 1, "seed of what is drawn at random");
+DEFINE_uint64(seed, 1, "seed of the random number generator");
 
 namespace {
 
@@ -66,7 +66,7 @@
     return settings;
 }
 
-/// \brief One socket, and the feeds and requests that share it.
+/// \brief A UDP socket and the feeds and requests that share it.
 class Caller
 {
 public:
@@ -82,7 +82,7 @@
     {
     }
 
-    /// \brief Starts no more requests, waits for the others, closes the feeds.
+    /// \brief Stops starting requests; once the pending ones finish, closes the feeds and exits.
     void stop()
     {
         m_requests.stop();
@@ -149,7 +149,8 @@
 
 int main(int argc, char **argv)
 {
-    baobabtrail::readFlags(argc, argv, "standin-caller [flags]: callers of own frames");
+    baobabtrail::readFlags(argc, argv,
+                           "standin-caller [flags]: callers of the native frame protocol");
     boost::asio::io_context context;
     Caller caller{context, settingsFromFlags()};
     const HttpServer server{context, static_cast<std::uint16_t>(FLAGS_control_port),
--- a/standins/caller/requests.cpp
+++ b/standins/caller/requests.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration FirstRetransmission = 200ms;
 constexpr Duration MaxRetransmission = 1s;
-/// How much longer than its deadline a request waits for its outcome.
+/// \brief Time after its deadline for which a request still waits for an outcome.
 constexpr Duration Grace = 1s;
 
 [[nodiscard]] double percentile(const std::vector<double> &sorted, double share)
@@ -86,7 +86,7 @@
         return;
     }
     if (entry.deadline <= now)
-        return; // A reservation made now would be of no use.
+        return; // A reservation after the deadline is useless.
     m_send(RequestMessage{Reserve{id, m_settings.service, m_settings.requestClass,
                                   m_settings.idempotent, entry.deadline - now, entry.attempt}});
     ++entry.attempt;
@@ -105,7 +105,7 @@
         message);
 }
 
-// Only the first reservation is used. A caller that used two would have two owners, and the request
+// Uses only the first reservation: a caller that used two would have two owners, and the request
 // might run twice.
 void Requests::on(Entry &entry, const Reserved &message, TimePoint now)
 {
--- a/standins/caller/requests.h
+++ b/standins/caller/requests.h
@@ -15,7 +15,8 @@
 
 namespace baobabtrail::standins {
 
-/// \brief Requests at a given rate, whatever becomes of the ones before.
+/// \brief Open-loop request generator: starts requests at a given rate, whatever the outcome of
+/// earlier ones.
 class Requests
 {
 public:
@@ -25,12 +26,12 @@
 
     void tick(TimePoint now);
     void receive(const RequestMessage &message, TimePoint now);
-    /// \brief Starts no more.
+    /// \brief Stops starting requests; pending ones go on.
     void stop() noexcept { m_stopped = true; }
 
     [[nodiscard]] std::size_t pending() const noexcept { return m_pending; }
     [[nodiscard]] boost::json::object stats() const;
-    /// \return Ids of the requests that were answered, and of those that were refused as not run.
+    /// \return Ids of the answered requests and of those refused as not run.
     [[nodiscard]] boost::json::object ids() const;
 
 private:
@@ -69,7 +70,7 @@
     TimePoint m_nextStart;
     bool m_stopped = false;
     std::size_t m_pending = 0;
-    std::unordered_map<RequestId, Entry> m_entries; ///< Kept to the end: late messages are judged.
+    std::unordered_map<RequestId, Entry> m_entries; ///< Never erased, to check late messages.
     std::vector<RequestId> m_active;
     std::map<std::string, std::uint64_t> m_counts;
     std::vector<double> m_latencies; ///< Milliseconds, of answered requests.
