--- a/standins/direct/caller.h
+++ b/standins/direct/caller.h
@@ -15,7 +15,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief An open flow that a daemon ended though it had no reason.
+/// \brief An open flow that a daemon reset without a valid reason.
 struct BrokenFlow
 {
     Endpoint caller;
@@ -24,25 +24,25 @@
     std::chrono::system_clock::time_point at;
 };
 
-/// \brief What all callers of a run have seen.
+/// \brief Outcomes of all callers of a run.
 struct CallerLog
 {
     std::size_t asked = 0;
     std::size_t answered = 0;
-    std::size_t singleAnswered = 0; ///< Of these, requests on flows of their own.
-    std::size_t refused = 0;        ///< Told at once that the flow can't be opened.
+    std::size_t singleAnswered = 0; ///< Of these, single requests, each on its own flow.
+    std::size_t refused = 0;        ///< Flows reset before they opened.
     std::size_t timedOut = 0;
-    std::size_t wrongAnswers = 0; ///< An answer to another request.
-    std::size_t broken = 0;       ///< Open flows that the balancer ended though it had no reason.
-    std::size_t ended = 0;        ///< Open flows that ended for a reason.
-    std::vector<BrokenFlow> brokenFlows; ///< The broken ones, in order.
+    std::size_t wrongAnswers = 0; ///< Answers that belong to another request.
+    std::size_t broken = 0;       ///< Open flows that the balancer reset without a valid reason.
+    std::size_t ended = 0;        ///< Open flows that ended for a valid reason.
+    std::vector<BrokenFlow> brokenFlows; ///< The broken flows, in order.
 };
 
-/// \brief The platform's routers: a daemon for each flow, by a hash that only moves the flows of
-/// daemons that come or go.
+/// \brief The platform's routers: choose a daemon for each flow by rendezvous hashing, which only
+/// moves the flows of daemons that join or leave.
 struct Rotation
 {
-    std::vector<Endpoint> daemons; ///< In rotation.
+    std::vector<Endpoint> daemons; ///< Daemons in rotation.
 
     [[nodiscard]] const Endpoint *daemonOf(const Endpoint &caller) const
     {
@@ -60,14 +60,14 @@
     }
 };
 
-/// \brief A caller with an address of its own: a feed that asks again and again on one flow, and
-/// single requests on flows of their own.
+/// \brief A caller with its own address: feeds, which send request after request on one flow, and
+/// single requests, each on its own flow.
 class Caller
 {
 public:
     using Clock = std::chrono::steady_clock;
 
-    /// \param endExpected Whether an open flow at this address may be ended now.
+    /// \param endExpected Whether the balancer may currently reset open flows to this route.
     Caller(boost::asio::io_context &context, const Endpoint &address, const Rotation &rotation,
            std::function<bool(const Endpoint &route)> endExpected, CallerLog &log)
         : m_context(context)
@@ -80,20 +80,21 @@
     {
     }
 
-    /// \brief One request on a flow of its own; it is sent again on the same flow only.
+    /// \brief Sends a single request on its own flow; it is retransmitted on that flow only.
     void ask(const Endpoint &route, const std::string &service) { begin(route, service, {}); }
 
-    /// \brief A feed: asks every \a pause on one flow, and opens another one where that fails.
+    /// \brief Starts a feed: sends a request on one flow \a pause after each answer, and opens
+    /// another flow if it fails.
     void feed(const Endpoint &route, const std::string &service, std::chrono::milliseconds pause)
     {
         begin(route, service, pause);
     }
 
     [[nodiscard]] const Endpoint &address() const noexcept { return m_address; }
-    /// \return Answers that its feeds have got so far.
+    /// \return Number of answers that its feeds have received.
     [[nodiscard]] std::size_t feedAnswers() const noexcept { return m_feedAnswers; }
 
-    /// \brief Ends all feeds and waits for nothing more.
+    /// \brief Drops all flows, including requests without an answer.
     void stop() { m_flows.clear(); }
 
 private:
@@ -110,7 +111,7 @@
         bool open = false;
         bool requested = false;
         std::uint32_t echo = 0;
-        std::uint32_t seq = FirstSequence + 1; ///< Of the next byte.
+        std::uint32_t seq = FirstSequence + 1; ///< Sequence number of the next byte.
         std::uint32_t ack = 0;
         std::string request;
         std::string id;
@@ -147,7 +148,7 @@
     {
         Packet packet = packetOf(flow);
         packet.seq = FirstSequence;
-        packet.ack = static_cast<std::uint32_t>(flow.tries); // Counts the copies.
+        packet.ack = static_cast<std::uint32_t>(flow.tries); // Counts the retransmissions.
         packet.flags = Packet::Syn;
         packet.echo = 0;
         send(packet);
--- a/standins/direct/operated_store.h
+++ b/standins/direct/operated_store.h
@@ -14,8 +14,8 @@
 
 namespace baobabtrail::standins {
 
-/// \brief The platform's store, as a process, and what operators and targets write to it. Each call
-/// waits for its answer, and everything else in this process with it.
+/// \brief The platform's store as a child process, with the writes of operators and targets. Each
+/// call blocks this process until it is answered.
 class OperatedStore
 {
 public:
@@ -31,16 +31,16 @@
 
     [[nodiscard]] std::uint16_t port() const { return m_process.ports().at("http"); }
 
-    // Faults.
+    // Fault injection.
 
     void setSwitches(const std::string &json) const { put("/control/switches", json); }
     void compact() const { call(Verb::post, "/control/compact"); }
-    /// \brief Signals its process.
+    /// \brief Sends a signal to the store's process.
     void signal(int number) const { m_process.send(number); }
 
-    // Operators.
+    // Writes of operators.
 
-    /// \brief Writes a version of the configuration that has just these routes.
+    /// \brief Writes a new version of the configuration with exactly these routes.
     void writeRoutes(const std::set<int> &numbers)
     {
         boost::json::array routes;
@@ -58,9 +58,9 @@
         else
             put("/baobabtrail/objects/config/main", body);
     }
-    /// \return Version of the newest configuration.
+    /// \return Version of the last configuration written here.
     [[nodiscard]] std::uint64_t newestConfiguration() const noexcept { return m_version; }
-    /// \return Version of the configuration that the store has.
+    /// \return Version of the configuration read from the store.
     [[nodiscard]] std::int64_t storedConfiguration() const
     {
         const auto object = test::getJson(port(), "/baobabtrail/objects/config/main");
@@ -78,9 +78,9 @@
         call(Verb::delete_, "/baobabtrail/objects/evacuations/" + nameOfDomain(domain));
     }
 
-    // Targets.
+    // Writes of targets.
 
-    /// \param coldFor How much longer it says that it is cold.
+    /// \param coldFor Remaining warm-up time to report.
     void registerTarget(const Target &target, std::chrono::milliseconds coldFor) const
     {
         post("servers", registrationOf(target, "ready", coldFor));
--- a/standins/direct/packet.h
+++ b/standins/direct/packet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The packets of the platform's callers and targets, as its page describes them.
+/// \brief Packet format of the platform's callers and targets.
 
 #include "core/direct/segment.h"
 
@@ -13,7 +13,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief One packet, both ways.
+/// \brief One packet, with encoding and decoding.
 struct Packet
 {
     static constexpr std::uint8_t Syn = 128;
@@ -24,7 +24,7 @@
 
     std::uint32_t seq = 0;
     std::uint32_t ack = 0;
-    std::uint32_t sum = 0; ///< 0 only in what the balancer sends of itself.
+    std::uint32_t sum = 0; ///< 0 only in packets that the balancer originates.
     std::uint32_t echo = 0;
     Endpoint source;
     Endpoint destination;
--- a/standins/direct/target.h
+++ b/standins/direct/target.h
@@ -19,32 +19,32 @@
 struct TargetRun
 {
     std::string request;
-    std::uint64_t target = 0; ///< Each start of a target has an id of its own.
+    std::uint64_t target = 0; ///< Unique for each start of a target.
     Endpoint caller;
-    Endpoint daemon; ///< That brought the request.
+    Endpoint daemon; ///< The daemon that forwarded the request.
     std::chrono::system_clock::time_point at;
 };
 
-/// \brief What all targets of a run have seen.
+/// \brief Observations of all targets of a run.
 struct TargetLog
 {
-    std::map<std::string, int> runs; ///< By request.
+    std::map<std::string, int> runs; ///< Number of runs by request.
     std::vector<TargetRun> record;   ///< Each run, in order.
     std::size_t wrongService = 0;    ///< Requests for another service than the target's.
-    std::size_t lateOpens = 0;       ///< Flows that opened at a target drained long before.
-    std::size_t evacuatedOpens = 0;  ///< The same in a failure domain evacuated long before.
-    std::size_t coldOpens = 0;       ///< Flows beyond what a cold target bears in a second.
+    std::size_t lateOpens = 0;       ///< Flows opened after the draining bound of their target.
+    std::size_t evacuatedOpens = 0;  ///< Flows opened after the evacuation bound of their domain.
+    std::size_t coldOpens = 0;       ///< Flows above the limit per second of a cold target.
 };
 
-/// \brief A target that answers its callers directly. A request is "SERVICE ID"; the answer is
-/// "ID" after the time that the work takes.
+/// \brief A target that answers its callers directly (direct server return). A request is
+/// "SERVICE ID"; the answer is "ID", sent after the work time.
 class Target
 {
 public:
     using Clock = std::chrono::steady_clock;
 
-    /// \param id Named in front of each datagram that is meant for this target.
-    /// \param callerPort Port of all callers' addresses.
+    /// \param id Prefix of each datagram for this target.
+    /// \param callerPort UDP port that all callers use.
     Target(boost::asio::io_context &context, const Endpoint &address, std::uint64_t id,
            std::string service, std::uint16_t callerPort, std::chrono::milliseconds work,
            TargetLog &log)
@@ -66,11 +66,11 @@
     [[nodiscard]] std::uint64_t id() const noexcept { return m_id; }
     [[nodiscard]] const std::string &service() const noexcept { return m_service; }
 
-    /// \brief Flows that open later than this count as late.
+    /// \brief Counts flows that open after \a time as late.
     void closeAt(Clock::time_point time) { m_closedAt = time; }
-    /// \brief Flows that open later than this, before it is taken back, count as evacuated.
+    /// \brief Counts flows that open after \a time as evacuated; std::nullopt ends the evacuation.
     void evacuateAt(std::optional<Clock::time_point> time) { m_evacuatedAt = time; }
-    /// \brief It is cold until \a time; more than \a most new flows in a second count.
+    /// \brief Marks the target cold until \a time; counts new flows above \a most per second.
     void coldUntil(Clock::time_point time, std::size_t most)
     {
         m_coldUntil = time;
@@ -81,14 +81,14 @@
     struct Flow
     {
         bool open = false;
-        bool ended = false; ///< Remembered: copies of its segments may still be on their way.
+        bool ended = false; ///< Retained, as copies of its segments may still arrive.
         std::uint32_t echo = 0;
-        std::uint32_t received = 0; ///< Sequence number behind the caller's last byte.
+        std::uint32_t received = 0; ///< Sequence number after the caller's last byte.
         std::uint32_t sent = 0;     ///< Sequence number of the next byte.
-        std::string answer;         ///< The last one, to be sent again.
+        std::string answer;         ///< The last answer, for retransmission.
     };
-    /// \brief Differs between targets: a flow opens at the one whose number its caller
-    /// acknowledges.
+    /// \brief Initial sequence number. It differs between targets: a flow opens at the target whose
+    /// number the caller acknowledges.
     [[nodiscard]] std::uint32_t firstSequence() const noexcept
     {
         constexpr std::uint32_t apart = 100000;
@@ -99,13 +99,13 @@
     {
         constexpr std::size_t prefix = 8;
         if (bytes.size() < prefix || Packet::take<std::uint64_t>(bytes, 0) != m_id)
-            return; // Meant for a target that had this address before.
+            return; // Sent to a target that used this address earlier.
         const auto packet = Packet::read(bytes.substr(prefix));
         if (!packet)
             return;
         const auto key = std::pair{packet->source, packet->destination};
         if (packet->has(Packet::Syn)) {
-            // A copy that was held up on its way changes nothing at a flow that is open.
+            // A delayed duplicate leaves an open flow unchanged.
             const auto [place, isNew] = m_flows.try_emplace(key);
             Flow &flow = place->second;
             if (flow.ended)
@@ -142,7 +142,7 @@
             request(*packet, flow, daemon);
     }
 
-    /// \brief Takes connections, as real targets do for health checks, and closes them.
+    /// \brief Accepts and closes TCP connections, as real targets do for health checks.
     void acceptNext()
     {
         m_connections.async_accept(
@@ -167,7 +167,7 @@
     void request(const Packet &packet, Flow &flow, const Endpoint &daemon)
     {
         if (packet.seq != flow.received) {
-            // Sent again: the answer was lost, or is not there yet.
+            // Retransmission: the answer was lost or isn't ready yet.
             const auto size = static_cast<std::uint32_t>(flow.answer.size());
             if (!flow.answer.empty())
                 reply(packet, flow.sent - size, Packet::Ack, flow, flow.answer);
@@ -224,7 +224,7 @@
     std::optional<Clock::time_point> m_evacuatedAt;
     Clock::time_point m_coldUntil{};
     std::size_t m_mostCold = 0;
-    std::vector<Clock::time_point> m_coldOpens; ///< Within the last second.
+    std::vector<Clock::time_point> m_coldOpens; ///< Times of flow opens within the last second.
     std::map<std::pair<Endpoint, Endpoint>, Flow> m_flows;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/standins/direct/tcp_proxy.h
+++ b/standins/direct/tcp_proxy.h
@@ -14,16 +14,16 @@
 
 namespace baobabtrail::standins {
 
-/// \brief A loopback proxy that harms the connections that pass through it.
+/// \brief A loopback TCP proxy that injects faults into its connections.
 class TcpProxy
 {
 public:
     enum class Mode {
         Pass,
-        Delayed,    ///< Every answer takes 300 ms longer.
-        Refusing,   ///< New connections are reset; open ones too.
-        Silent,     ///< Nothing passes and nothing is said; connections stay open.
-        Unanswered, ///< What is asked arrives, what is answered is lost.
+        Delayed,    ///< Delays answers by 300 ms.
+        Refusing,   ///< Resets new and open connections.
+        Silent,     ///< Discards all data both ways; connections stay open.
+        Unanswered, ///< Forwards requests and discards answers.
     };
     using tcp = boost::asio::ip::tcp;
 
@@ -42,7 +42,7 @@
         accept();
     }
 
-    /// \brief Answers of all connections together pass at this rate; 0 for no bound.
+    /// \brief Limits the total rate of answers over all connections; 0 for unlimited.
     void setBytesPerSecond(std::uint64_t rate) { m_bytesPerSecond = rate; }
 
     [[nodiscard]] std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
@@ -62,7 +62,7 @@
 private:
     using Clock = std::chrono::steady_clock;
 
-    /// \return How long a piece of an answer waits before it passes.
+    /// \return Delay before a chunk of an answer is forwarded.
     [[nodiscard]] Clock::duration delayOf(std::size_t bytes, Mode mode)
     {
         Clock::duration delay{0};
@@ -111,7 +111,7 @@
         {
             const Mode mode = proxy.m_mode;
             if (mode == Mode::Silent || (mode == Mode::Unanswered && answers)) {
-                pump(from, to, buffer, answers); // Swallowed.
+                pump(from, to, buffer, answers); // Discard the data.
                 return;
             }
             const auto write = [self = shared_from_this(), &from, &to, &buffer, size, answers] {
@@ -175,7 +175,7 @@
     tcp::endpoint m_server;
     Mode m_mode = Mode::Pass;
     std::uint64_t m_bytesPerSecond = 0;
-    Clock::time_point m_freeAt{}; ///< What came until now has passed by then.
+    Clock::time_point m_freeAt{}; ///< When all data received so far has been forwarded.
     std::list<std::weak_ptr<Link>> m_links;
 };
 
--- a/standins/direct/udp_end.h
+++ b/standins/direct/udp_end.h
@@ -12,7 +12,7 @@
 
 namespace baobabtrail::standins {
 
-/// \brief A UDP socket on an address of its own of the loopback range.
+/// \brief A UDP socket bound to its own address of the loopback range.
 class UdpEnd
 {
 public:
@@ -26,7 +26,7 @@
         read();
     }
 
-    /// \brief Sends now; what the kernel won't take is lost.
+    /// \brief Sends without queueing; a datagram that the kernel rejects is lost.
     void send(const Endpoint &to, const std::string &bytes)
     {
         boost::system::error_code lost;
@@ -50,7 +50,7 @@
     }
 
     boost::asio::ip::udp::socket m_socket;
-    boost::asio::ip::udp::endpoint m_sender; ///< Of what is being read.
+    boost::asio::ip::udp::endpoint m_sender; ///< Sender of the datagram being read.
     Receive m_receive;
     std::array<char, 2048> m_buffer{};
 };
--- a/standins/direct/world.h
+++ b/standins/direct/world.h
@@ -18,14 +18,14 @@
 
 namespace baobabtrail::standins {
 
-/// \brief A whole system on the loopback range: the platform's store, real daemons, each behind a
-/// proxy of its own to the store, and targets, routers and callers in this process.
+/// \brief A complete system on loopback addresses: the platform's store, real daemons that reach it
+/// through one proxy each, and targets, routers and callers in this process.
 class World
 {
 public:
     using Clock = std::chrono::steady_clock;
 
-    /// \param roots The first so many daemons watch the store.
+    /// \param roots Number of daemons, counted from the first, that watch the store.
     World(std::size_t daemons, std::size_t roots, std::size_t callers)
         : m_ports(test::freePorts(3))
         , m_roots(roots)
@@ -51,10 +51,10 @@
     [[nodiscard]] std::size_t daemonCount() const noexcept { return m_daemons.size(); }
     [[nodiscard]] bool running(std::size_t index) const { return m_daemons[index] != nullptr; }
     [[nodiscard]] TcpProxy &storeOf(std::size_t index) { return *m_proxies[index]; }
-    /// \return The proxy by which other daemons reach a daemon.
+    /// \return The proxy through which other daemons reach a daemon.
     [[nodiscard]] TcpProxy &peersOf(std::size_t index) { return *m_peerProxies[index]; }
     [[nodiscard]] std::vector<std::unique_ptr<Caller>> &callers() noexcept { return m_callers; }
-    /// \return Index of the daemon that sends from an address.
+    /// \return Index of the daemon with this source address.
     [[nodiscard]] std::size_t indexOf(const Endpoint &daemon) const
     {
         return daemon.address - daemonAddress(0, 0).address;
@@ -68,7 +68,7 @@
         m_context.run_for(span);
     }
 
-    /// \return Whether \a condition came true within \a limit.
+    /// \return Whether \a condition became true within \a limit.
     bool runUntil(const std::function<bool()> &condition, std::chrono::milliseconds limit)
     {
         const auto end = Clock::now() + limit;
@@ -86,7 +86,7 @@
             logDirectory + "/daemon" + std::to_string(index) + ".log");
     }
 
-    /// \brief Signals a daemon; SIGKILL also forgets it.
+    /// \brief Sends a signal to a daemon; after SIGKILL it counts as not running.
     void signal(std::size_t index, int number)
     {
         if (m_daemons[index])
@@ -95,10 +95,10 @@
             m_daemons[index].reset();
     }
 
-    /// \brief The process that read a daemon's log is gone.
+    /// \brief Closes the reading end of a daemon's log pipe, as if the log reader had died.
     void endLogReader(std::size_t index) { m_daemons[index]->closeOutput(); }
 
-    /// \brief Asks a daemon to stop and waits for its end, while everything else goes on.
+    /// \brief Sends SIGTERM to a daemon and runs the rest of the system until it exits.
     /// \return Its exit status.
     int stopDaemon(std::size_t index)
     {
@@ -109,8 +109,8 @@
         return status;
     }
 
-    /// \brief The store is reached at another address from now on, the old one refuses. The
-    /// daemon's settings file says so; nobody signals it.
+    /// \brief Moves a daemon's access to the store to another address; the old one refuses
+    /// connections. Rewrites the daemon's settings file without signalling the daemon.
     void moveStore(std::size_t index)
     {
         m_proxies[index]->set(TcpProxy::Mode::Refusing);
@@ -119,13 +119,13 @@
         (void)writeSettings(index);
     }
 
-    // The store, as operators and targets write to it.
+    // The store, with the writes of operators and targets.
 
     void setSwitches(const std::string &json) { m_store.setSwitches(json); }
     void compact() { m_store.compact(); }
     void signalStore(int number) const { m_store.signal(number); }
 
-    /// \brief Adds or removes the route of a number; route 0 is always there.
+    /// \brief Adds or removes one route; route 0 is always present.
     void setRoute(int number, bool there)
     {
         if (there)
@@ -136,7 +136,8 @@
         m_store.writeRoutes(m_routes);
     }
 
-    /// \brief Adds or removes many routes in one version of the configuration; nobody calls them.
+    /// \brief Adds or removes many routes, which get no traffic, in one version of the
+    /// configuration.
     void setRoutes(int first, int count, bool there)
     {
         for (int number = first; number < first + count; ++number) {
@@ -148,18 +149,19 @@
         m_store.writeRoutes(m_routes);
     }
 
-    /// \return Version of the newest configuration.
+    /// \return Version of the last configuration written.
     [[nodiscard]] std::uint64_t newestConfiguration() const noexcept
     {
         return m_store.newestConfiguration();
     }
-    /// \return Version of the configuration that the store has.
+    /// \return Version of the configuration read from the store.
     [[nodiscard]] std::int64_t storedConfiguration() const { return m_store.storedConfiguration(); }
 
-    /// \brief How much longer a target that starts now says that it is cold.
+    /// \brief Remaining warm-up time that newly started targets report.
     std::chrono::milliseconds coldFor{0};
 
-    /// \brief Starts a target and registers it. \return Its place among the targets.
+    /// \brief Starts a target and registers it.
+    /// \return Its index in targets().
     std::size_t addTarget(const std::string &service, std::optional<Endpoint> address = {})
     {
         const std::uint64_t id = ++m_lastTarget;
@@ -176,15 +178,15 @@
         return m_targets.size() - 1;
     }
 
-    /// \brief The operator evacuates a failure domain; flows that open there \a bound later count
-    /// as late.
+    /// \brief Evacuates a failure domain; flows that open there more than \a bound later count as
+    /// evacuated.
     void evacuate(std::size_t domain, std::chrono::milliseconds bound)
     {
         m_store.evacuate(domain);
         m_evacuated[domain] = bound;
         eachTargetOf(domain, [&](Target &target) { target.evacuateAt(Clock::now() + bound); });
     }
-    /// \brief Takes an evacuation back.
+    /// \brief Ends an evacuation.
     void restore(std::size_t domain)
     {
         eachTargetOf(domain, [](Target &target) { target.evacuateAt(std::nullopt); });
@@ -193,7 +195,8 @@
     }
     [[nodiscard]] bool evacuated(std::size_t domain) const { return m_evacuated.contains(domain); }
 
-    /// \brief A live target's registration lapses. \see registerAgain
+    /// \brief Deletes the registration of a live target.
+    /// \see registerAgain
     void lapse(std::size_t index)
     {
         const std::uint64_t id = m_targets[index]->id();
@@ -208,7 +211,8 @@
             m_store.registerTarget(*m_targets[index], coldFor);
     }
 
-    /// \brief Reports a target as draining; flows that open there \a bound later count as late.
+    /// \brief Reports a target as draining; flows that open there more than \a bound later count as
+    /// late.
     void drain(std::size_t index, std::chrono::milliseconds bound)
     {
         registerAgain(index);
@@ -216,8 +220,8 @@
         m_targets[index]->closeAt(Clock::now() + bound);
     }
 
-    /// \brief The target vanishes without a word; its registration goes a while later.
-    /// \return Its address, which may be used again.
+    /// \brief Removes a target without deleting its registration; the caller unregisters it later.
+    /// \return Its address, which may be reused.
     Endpoint crash(std::size_t index)
     {
         const Endpoint address = m_targets[index]->address();
@@ -240,18 +244,18 @@
     CallerLog callerLog;
     TargetLog targetLog;
     test::Process::Output output = test::Process::Output::Hidden;
-    std::string logDirectory; ///< Of the daemons, where \a output is File.
+    std::string logDirectory; ///< Directory of the daemons' logs if \a output is File.
 
-    /// \return Where a daemon's metrics are, and where it can be asked with baobabctl.
+    /// \return Address of a daemon's metrics and of its administration API for baobabctl.
     [[nodiscard]] Endpoint administrationOf(std::size_t index) const
     {
         return daemonAddress(index, 1);
     }
 
-    /// \return A metrics page of a daemon; empty where it gives none in time.
+    /// \return A daemon's metrics page; empty if it doesn't answer in time.
     [[nodiscard]] std::string metricsOf(std::size_t index)
     {
-        // Shared: where this process stands still, the answer comes after the wait for it.
+        // Shared with the handler: if this process stalls, the answer arrives after the wait ends.
         const auto page = std::make_shared<std::optional<std::string>>();
         get(administrationOf(index), "/metrics", [page](const HttpResult &result) {
             const auto *response = std::get_if<HttpClientResponse>(&result);
@@ -262,17 +266,19 @@
     }
 
 private:
-    /// What a cold target has to bear in a second at most: half as much again, and five.
+    /// \brief Maximum new flows per second at a cold target: 1.5 times its warm-up rate plus five.
     static constexpr std::size_t MostOpensOfCold = 23;
-    static constexpr int FirstMisses = 2; ///< Out of rotation until it answers.
-    /// Flows may be ended for so long after a target has gone: its registration lingers, and
-    /// callers send again at growing intervals.
+    /// \brief Failed probes in a row that take a daemon out of rotation; also the initial count, so
+    /// that a new daemon joins only after it has answered.
+    static constexpr int FirstMisses = 2;
+    /// \brief How long after a target's crash its flows may be reset: the registration lingers, and
+    /// callers retransmit at growing intervals.
     static constexpr std::chrono::seconds EndsAfterCrash{20};
 
     [[nodiscard]] std::uint16_t packetPort() const { return m_ports[0]; }
     [[nodiscard]] std::uint16_t storePort() const { return m_store.port(); }
 
-    /// \return Address of a daemon: 0 for packets, 1 for HTTP.
+    /// \param kind 0 for the packet port, 1 for the HTTP port.
     [[nodiscard]] Endpoint daemonAddress(std::size_t index, std::size_t kind) const
     {
         return {0x7F00000AU + static_cast<std::uint32_t>(index), m_ports[kind]};
@@ -283,7 +289,7 @@
         return {0x7F000032U + static_cast<std::uint32_t>(index), m_ports[1]};
     }
 
-    /// \return Where a daemon listens for others, who know it by its peerAddress().
+    /// \return Address on which a daemon listens for peers, which reach it through peerAddress().
     [[nodiscard]] Endpoint peerListener(std::size_t index) const
     {
         return {0x7F000096U + static_cast<std::uint32_t>(index), m_ports[1]};
@@ -330,13 +336,14 @@
         return boost::json::serialize(settings);
     }
 
-    /// \return The path of the daemon's settings file, written anew.
+    /// \brief Rewrites the daemon's settings file.
+    /// \return Its path.
     std::string writeSettings(std::size_t index) const
     {
         std::string path = m_directory.file("daemon" + std::to_string(index) + ".json");
         const std::string next = path + ".next";
         std::ofstream{next} << settingsOf(index);
-        std::filesystem::rename(next, path); // Nobody reads half of it.
+        std::filesystem::rename(next, path); // Atomic, so that no partial file is read.
         return path;
     }
 
@@ -394,15 +401,15 @@
     boost::asio::steady_timer m_probeTimer{m_context};
     std::vector<std::unique_ptr<TcpProxy>> m_proxies;
     std::vector<std::unique_ptr<TcpProxy>> m_peerProxies;
-    std::vector<std::unique_ptr<TcpProxy>> m_movedProxies; ///< Links of theirs may still end.
+    std::vector<std::unique_ptr<TcpProxy>> m_movedProxies; ///< Their links may still close.
     std::vector<std::unique_ptr<test::Process>> m_daemons;
     std::vector<int> m_misses;
     Rotation m_rotation;
     std::set<int> m_routes{0, 1};
     std::map<int, Clock::time_point> m_removedAt;
-    std::map<std::size_t, std::chrono::milliseconds> m_evacuated; ///< Domains, with their bounds.
+    std::map<std::size_t, std::chrono::milliseconds> m_evacuated; ///< Bounds by failure domain.
     std::uint64_t m_lastTarget = 0;
-    std::set<std::uint64_t> m_lapsed; ///< Targets whose registrations are missing.
+    std::set<std::uint64_t> m_lapsed; ///< Running targets without a registration.
     std::optional<Clock::time_point> m_lastCrash;
     std::vector<std::unique_ptr<Target>> m_targets;
     std::vector<std::unique_ptr<Caller>> m_callers;
