--- a/tests/standins/direct_caller_test.cpp
+++ b/tests/standins/direct_caller_test.cpp
@@ -16,8 +16,8 @@
 constexpr std::string_view TargetPrefix{"\0\0\0\0\0\0\0\7", 8};
 constexpr std::uint32_t Loopback = 0x7F000001;
 
-/// \brief A caller with a feed in one process, and in another one its target behind a daemon that
-/// forwards everything. Each process runs only when it is told to.
+/// \brief Simulates two processes by two event loops: a caller with a feed in one, and its target
+/// behind a daemon that forwards everything in the other. The test runs each loop explicitly.
 struct Fixture
 {
     explicit Fixture(const test::Ports &ports = test::freePorts(3))
@@ -45,7 +45,7 @@
         }
     }
 
-    /// \brief The caller's process stands still while the other one goes on.
+    /// \brief Runs only the other process, as if the caller's process had stalled.
     void stallCaller(std::chrono::milliseconds span)
     {
         far.restart();
@@ -80,8 +80,9 @@
 
 } // namespace
 
-// Guards against a caller that sends an answered request under the next one's sequence number, and
-// so has it run twice: the answer and the wait for it were ready together.
+// Guards against a caller that retransmits an answered request under the sequence number of the
+// next one, so that it runs twice. It came about when the answer and the retransmission timer were
+// ready in the same turn of the event loop.
 Test(directCaller, anAnswerThatCameWithTheTimeoutIsTaken)
 {
     constexpr auto longerThanAnyWait = 250ms;
--- a/tests/standins/direct_target_test.cpp
+++ b/tests/standins/direct_target_test.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::uint64_t Id = 7;
 constexpr std::uint32_t CallerSequence = 100;
-constexpr std::uint32_t TargetSequence = 700000; ///< Of a target with this id.
+constexpr std::uint32_t TargetSequence = 700000; ///< Initial sequence number of the target with Id.
 
-/// \brief A target, and packets to it as a daemon sends them.
+/// \brief A target and a socket that sends packets to it as a daemon does.
 struct Fixture
 {
     explicit Fixture(const test::Ports &ports = test::freePorts(2))
@@ -49,8 +49,8 @@
 
 } // namespace
 
-// Guards against a request that counts as run twice: a paused daemon brings a copy of its flow's
-// opening and then of the request, both of before the flow's end.
+// Guards against a request that is counted as run twice: after the end of a flow, a daemon that had
+// stalled delivers duplicates of the flow's opening and of the request.
 Test(directTarget, anEndedFlowRunsNothingMore)
 {
     Fixture fixture;
--- a/tests/standins/target_test.cpp
+++ b/tests/standins/target_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::uint32_t Loopback = 0x7f000001;
 
-/// \brief A UDP socket of the test on a free port.
+/// \brief A blocking UDP socket on a free port.
 struct Socket
 {
     asio::io_context context;
@@ -55,7 +55,7 @@
     return std::get<TargetDatagram>(decoded).body;
 }
 
-/// \brief A target without pushes, whose uplink is a socket of the test.
+/// \brief A target process without pushes, with a test socket as its uplink.
 struct TargetFixture
 {
     Socket uplink;
@@ -130,13 +130,13 @@
 
     send(LinkHello{lending, targetId(lending, "t1"), Generation{1}});
     cr_assert(std::get<LinkHelloReply>(next()).service == lending);
-    dispatch(1, 10s, lending); // runs
-    dispatch(2, 10s, lending); // waits
+    dispatch(1, 10s, lending); // occupies the slot
+    dispatch(2, 10s, lending); // is queued
     dispatch(3, 10s, lending);
     cr_assert(notRun(next(), 3) == RefusalCause::TargetShed);
     send(CancelAttempt{AttemptId{2}});
     cr_assert(notRun(next(), 2) == RefusalCause::Cancelled);
-    dispatch(4, 1ms, lending); // its time is over before the slot is free
+    dispatch(4, 1ms, lending); // expires before the slot is free
     dispatch(5, 10s, serviceId("alexandria", "catalogue"));
     cr_assert(notRun(next(), 5) == RefusalCause::UnknownService);
     const LinkMessage first = next();
