--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -218,7 +218,7 @@
                 continue;
             m_world.lapse(target);
             later(std::chrono::milliseconds{3000 + Draw{0, 2000}(m_plannedRandom)},
-                  [this, target] { registerAgain(target); });
+                  [this, target] { reregister(target); });
         }
         later(3s, [this] {
             for (std::size_t index = 0; index < FLAGS_daemons; ++index)
@@ -227,10 +227,10 @@
     }
 
     /// \brief A target that lives registers within two seconds of the store's return.
-    void registerAgain(std::size_t target)
+    void reregister(std::size_t target)
     {
         if (m_storeIsWell)
-            m_world.registerAgain(target);
+            m_world.reregister(target);
         else
             m_waitForStore.push_back(target);
     }
@@ -308,7 +308,7 @@
         using Draw = boost::random::uniform_int_distribution<int>;
         for (const std::size_t target : std::exchange(m_waitForStore, {}))
             later(std::chrono::milliseconds{Draw{0, 2000}(m_returnRandom)},
-                  [this, target] { registerAgain(target); });
+                  [this, target] { reregister(target); });
     }
 
     /// \return A live target of which enough others are left.
@@ -381,7 +381,7 @@
         for (const std::uint64_t id : m_unregister)
             m_world.unregister(id);
         for (const std::size_t target : m_live)
-            m_world.registerAgain(target);
+            m_world.reregister(target);
         for (const std::size_t domain : {0U, 1U, 2U}) {
             if (m_world.evacuated(domain))
                 m_world.restore(domain);
--- a/standins/direct/target.h
+++ b/standins/direct/target.h
@@ -74,7 +74,7 @@
     void coldUntil(Clock::time_point time, std::size_t most)
     {
         m_coldUntil = time;
-        m_mostCold = most;
+        m_maxColdOpens = most;
     }
 
 private:
@@ -117,7 +117,7 @@
             }
             reply(*packet, firstSequence(), Packet::Syn | Packet::Ack, flow, {});
             if (isNew)
-                judgeOpening(Clock::now());
+                checkOpening(Clock::now());
             return;
         }
         const auto found = m_flows.find(key);
@@ -152,7 +152,7 @@
             });
     }
 
-    void judgeOpening(Clock::time_point now)
+    void checkOpening(Clock::time_point now)
     {
         m_log.lateOpens += m_closedAt && now > *m_closedAt;
         m_log.evacuatedOpens += m_evacuatedAt && now > *m_evacuatedAt;
@@ -161,7 +161,7 @@
         constexpr std::chrono::seconds span{1};
         std::erase_if(m_coldOpens, [&](Clock::time_point at) { return now - at > span; });
         m_coldOpens.push_back(now);
-        m_log.coldOpens += m_coldOpens.size() > m_mostCold;
+        m_log.coldOpens += m_coldOpens.size() > m_maxColdOpens;
     }
 
     void request(const Packet &packet, Flow &flow, const Endpoint &daemon)
@@ -223,7 +223,7 @@
     std::optional<Clock::time_point> m_closedAt;
     std::optional<Clock::time_point> m_evacuatedAt;
     Clock::time_point m_coldUntil{};
-    std::size_t m_mostCold = 0;
+    std::size_t m_maxColdOpens = 0;
     std::vector<Clock::time_point> m_coldOpens; ///< Times of flow opens within the last second.
     std::map<std::pair<Endpoint, Endpoint>, Flow> m_flows;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/standins/direct/world.h
+++ b/standins/direct/world.h
@@ -170,7 +170,7 @@
         m_targets.push_back(std::make_unique<Target>(m_context, where, id, service, packetPort(),
                                                      std::chrono::milliseconds{20}, targetLog));
         if (coldFor.count() > 0)
-            m_targets.back()->coldUntil(Clock::now() + coldFor, MostOpensOfCold);
+            m_targets.back()->coldUntil(Clock::now() + coldFor, MaxOpensOfCold);
         if (const auto since = m_evacuated.find(OperatedStore::domainOf(id));
             since != m_evacuated.end())
             m_targets.back()->evacuateAt(Clock::now() + since->second);
@@ -196,7 +196,7 @@
     [[nodiscard]] bool evacuated(std::size_t domain) const { return m_evacuated.contains(domain); }
 
     /// \brief Deletes the registration of a live target.
-    /// \see registerAgain
+    /// \see reregister
     void lapse(std::size_t index)
     {
         const std::uint64_t id = m_targets[index]->id();
@@ -205,7 +205,7 @@
         unregister(id);
         m_lapsed.insert(id);
     }
-    void registerAgain(std::size_t index)
+    void reregister(std::size_t index)
     {
         if (m_targets[index] && m_lapsed.erase(m_targets[index]->id()) > 0)
             m_store.registerTarget(*m_targets[index], coldFor);
@@ -215,7 +215,7 @@
     /// late.
     void drain(std::size_t index, std::chrono::milliseconds bound)
     {
-        registerAgain(index);
+        reregister(index);
         m_store.reportDraining(*m_targets[index], coldFor);
         m_targets[index]->closeAt(Clock::now() + bound);
     }
@@ -267,7 +267,7 @@
 
 private:
     /// \brief Maximum new flows per second at a cold target: 1.5 times its warm-up rate plus five.
-    static constexpr std::size_t MostOpensOfCold = 23;
+    static constexpr std::size_t MaxOpensOfCold = 23;
     /// \brief Failed probes in a row that take a daemon out of rotation; also the initial count, so
     /// that a new daemon joins only after it has answered.
     static constexpr int FirstMisses = 2;
--- a/standins/platform/platform_service.cpp
+++ b/standins/platform/platform_service.cpp
@@ -28,7 +28,7 @@
     return revision ? revision->to_number<std::uint64_t>() : 0;
 }
 
-void takeContent(const boost::json::object &body, Object &object)
+void applyContent(const boost::json::object &body, Object &object)
 {
     object.spec = body.at("spec");
     const boost::json::value *meta = body.if_contains("meta");
@@ -243,7 +243,7 @@
         reply(objectResponse(http::status::conflict, *known));
         return;
     }
-    takeContent(body.as_object(), object);
+    applyContent(body.as_object(), object);
     written(reply, objectResponse(http::status::ok, m_store.put(place.kind, std::move(object))));
 }
 
@@ -263,7 +263,7 @@
         return;
     }
     Object object = *known;
-    takeContent(body.as_object(), object);
+    applyContent(body.as_object(), object);
     written(reply, objectResponse(http::status::ok, m_store.put(place.kind, std::move(object))));
 }
 
