--- a/standins/platform/object_store.h
+++ b/standins/platform/object_store.h
@@ -102,7 +102,7 @@
     [[nodiscard]] std::optional<std::vector<ObjectEvent>> since(const std::string &kind,
                                                                 std::uint64_t revision) const
     {
-        if (revision < m_forgotten)
+        if (revision < m_compactedRevision)
             return std::nullopt;
         std::vector<ObjectEvent> out;
         for (const ObjectEvent &event : m_history) {
@@ -116,7 +116,7 @@
     void compact()
     {
         m_history.clear();
-        m_forgotten = m_revision;
+        m_compactedRevision = m_revision;
     }
 
     [[nodiscard]] std::uint64_t revision() const noexcept { return m_revision; }
@@ -125,7 +125,7 @@
     std::map<std::string, std::map<std::string, Object>> m_kinds;
     std::deque<ObjectEvent> m_history;
     std::uint64_t m_revision = 1;
-    std::uint64_t m_forgotten = 0;
+    std::uint64_t m_compactedRevision = 0;
 };
 
 } // namespace baobabtrail::standins
--- a/standins/platform/vm_registry.h
+++ b/standins/platform/vm_registry.h
@@ -22,13 +22,13 @@
         if (!vm.contains("leaving"))
             vm["leaving"] = false;
         m_vms[daemon] = std::move(vm);
-        remember(now);
+        recordHistory(now);
     }
 
     void erase(std::uint64_t daemon, TimePoint now)
     {
         m_vms.erase(daemon);
-        remember(now);
+        recordHistory(now);
     }
 
     /// \return {"vms": [...]} as of \a now minus \a lag.
@@ -42,7 +42,7 @@
     }
 
 private:
-    void remember(TimePoint now)
+    void recordHistory(TimePoint now)
     {
         boost::json::array vms;
         for (const auto &[daemon, vm] : m_vms)
