--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -4,7 +4,7 @@
 #include "bench/policy/baselines.h"
 #include "bench/policy/decision_cost.h"
 #include "bench/policy/flow_run.h"
-#include "bench/policy/product_way.h"
+#include "bench/policy/product_policy.h"
 #include "command_line.h"
 
 #include <algorithm>
@@ -37,10 +37,10 @@
     return whole == 0 ? 0.0 : 100.0 * static_cast<double>(part) / static_cast<double>(whole);
 }
 
-void printRow(const char *way, const RequestResult &result, double boundP99)
+void printRow(const char *policy, const RequestResult &result, double boundP99)
 {
     std::printf("  %-16s %7.1f %7.1f %7.1f %6.2f   %5.2f %5.2f   %5.3f  %5.1f %5.1f %5.1f  %5llu",
-                way, quantile(result.latencies, 0.5), quantile(result.latencies, 0.99),
+                policy, quantile(result.latencies, 0.5), quantile(result.latencies, 0.99),
                 quantile(result.latencies, 0.999),
                 quantile(result.latencies, 0.99) / std::max(boundP99, 1e-9),
                 quantile(result.atTarget, 0.5), quantile(result.imbalance, 0.5), result.goodput,
@@ -68,15 +68,15 @@
 [[nodiscard]] RequestResult baseline(const Scenario &scenario, const Layout &layout, Baseline kind)
 {
     RequestRun run{scenario, layout, FLAGS_seed};
-    BaselineWay way{run, kind};
-    return run.play(way);
+    BaselinePolicy policy{run, kind};
+    return run.play(policy);
 }
 
 [[nodiscard]] RequestResult product(const Scenario &scenario, const Layout &layout, bool shared)
 {
     RequestRun run{scenario, layout, FLAGS_seed};
-    ProductWay way{run, shared};
-    return run.play(way);
+    ProductPolicy policy{run, shared};
+    return run.play(policy);
 }
 
 void compare(const Scenario &scenario, const Layout &layout)
@@ -88,7 +88,7 @@
     const RequestResult bound = baseline(scenario, layout, Baseline::ShortestQueue);
     const double boundP99 = quantile(bound.latencies, 0.99);
     printRow("random", baseline(scenario, layout, Baseline::Random), boundP99);
-    printRow("two, own counts", baseline(scenario, layout, Baseline::TwoOwnCounts), boundP99);
+    printRow("two, own counts", baseline(scenario, layout, Baseline::TwoLocalCounts), boundP99);
     printRow("own queues only", product(scenario, layout, false), boundP99);
     const RequestResult ours = product(scenario, layout, true);
     printRow("baobabtrail", ours, boundP99);
@@ -140,9 +140,9 @@
     std::printf("\n");
 }
 
-void printFlowRow(const char *way, const FlowResult &result)
+void printFlowRow(const char *policy, const FlowResult &result)
 {
-    std::printf("  %-18s %6.3f %6.3f   %6.3f   %6.2f   %llu\n", way,
+    std::printf("  %-18s %6.3f %6.3f   %6.3f   %6.2f   %llu\n", policy,
                 quantile(result.imbalance, 0.5), quantile(result.imbalance, 0.99),
                 quantile(result.least, 0.5), result.faultyShare,
                 static_cast<unsigned long long>(result.refused));
@@ -154,13 +154,13 @@
         return;
     std::printf("%s: %zu targets, about 2000 flows each, %zu daemons\n", scenario.name.c_str(),
                 layout.targets, layout.daemons);
-    const std::array<std::pair<const char *, FlowWay>, 4> ways{
-        {{"random", FlowWay::Random},
-         {"two, by reports", FlowWay::TwoByReports},
-         {"baobabtrail", FlowWay::Product},
-         {"fewest connections", FlowWay::FewestConnections}}};
-    for (const auto &[name, way] : ways)
-        printFlowRow(name, FlowRun{scenario, layout, FLAGS_seed, way}.play());
+    const std::array<std::pair<const char *, FlowPolicy>, 4> policies{
+        {{"random", FlowPolicy::Random},
+         {"two, by reports", FlowPolicy::TwoByReports},
+         {"baobabtrail", FlowPolicy::Product},
+         {"fewest connections", FlowPolicy::FewestConnections}}};
+    for (const auto &[name, policy] : policies)
+        printFlowRow(name, FlowRun{scenario, layout, FLAGS_seed, policy}.play());
 }
 
 [[nodiscard]] std::vector<Scenario> flowScenarios()
--- a/bench/policy/baselines.h
+++ b/bench/policy/baselines.h
@@ -9,16 +9,16 @@
 
 enum class Baseline {
     Random,
-    TwoOwnCounts,  ///< Less of two by the jobs that this daemon has out.
-    ShortestQueue, ///< All-knowing: the shortest queue of all, known at once and everywhere.
+    TwoLocalCounts, ///< Less of two by the jobs that this daemon has out.
+    ShortestQueue,  ///< All-knowing: the shortest queue of all, known at once and everywhere.
 };
 
 /// \brief Ways without owners: the daemon that is reached sends the job to a target itself, once
 /// the caller has its reservation. The target's queue is as long as an owner's would be.
-class BaselineWay
+class BaselinePolicy
 {
 public:
-    BaselineWay(RequestRun &run, Baseline kind)
+    BaselinePolicy(RequestRun &run, Baseline kind)
         : m_run(run)
         , m_kind(kind)
         , m_out(run.layout.daemons, std::vector<std::uint32_t>(run.layout.targets, 0))
@@ -78,7 +78,7 @@
     {
         if (m_kind == Baseline::Random)
             return anyTarget();
-        if (m_kind == Baseline::TwoOwnCounts) {
+        if (m_kind == Baseline::TwoLocalCounts) {
             const std::size_t one = anyTarget();
             const std::size_t other = anyTarget();
             return m_out[entry][other] < m_out[entry][one] ? other : one;
--- a/bench/policy/flow_run.h
+++ b/bench/policy/flow_run.h
@@ -13,7 +13,7 @@
 
 namespace baobabtrail::bench {
 
-enum class FlowWay { Random, TwoByReports, Product, FewestConnections };
+enum class FlowPolicy { Random, TwoByReports, Product, FewestConnections };
 
 struct FlowResult
 {
@@ -27,10 +27,10 @@
 class FlowRun
 {
 public:
-    FlowRun(const Scenario &scenario, const Layout &layout, std::uint64_t seed, FlowWay way)
+    FlowRun(const Scenario &scenario, const Layout &layout, std::uint64_t seed, FlowPolicy policy)
         : m_scenario(scenario)
         , m_layout(layout)
-        , m_way(way)
+        , m_policy(policy)
         , m_sim(seed)
         , m_flows(seed + 1)
         , m_held(layout.targets, 0)
@@ -223,11 +223,11 @@
     void open(Ask ask)
     {
         const std::size_t entry = ask.entry;
-        if (m_way == FlowWay::Product)
+        if (m_policy == FlowPolicy::Product)
             return route(entry, std::move(ask));
-        const std::size_t target = m_way == FlowWay::Random         ? anyTarget()
-                                   : m_way == FlowWay::TwoByReports ? twoByReports()
-                                                                    : fewest();
+        const std::size_t target = m_policy == FlowPolicy::Random         ? anyTarget()
+                                   : m_policy == FlowPolicy::TwoByReports ? twoByReports()
+                                                                          : fewest();
         accept(target, ask);
     }
 
@@ -327,7 +327,7 @@
 
     Scenario m_scenario;
     Layout m_layout;
-    FlowWay m_way;
+    FlowPolicy m_policy;
     Simulator m_sim;
     Random m_flows;
     std::vector<std::uint32_t> m_held;
--- a/bench/policy/product_way.h
+++ b/bench/policy/product_policy.h
@@ -13,12 +13,12 @@
 
 /// \brief The product's own TargetTable and AdmissionQueue on every daemon, with a small stand-in
 /// for the daemon around them.
-class ProductWay
+class ProductPolicy
 {
 public:
     /// \param shared Whether a target that comes free takes from the queues of the same daemon's
     /// other targets.
-    explicit ProductWay(RequestRun &run, bool shared = true)
+    explicit ProductPolicy(RequestRun &run, bool shared = true)
         : m_run(run)
         , m_shared(shared)
     {
--- a/bench/policy/request_run.h
+++ b/bench/policy/request_run.h
@@ -65,12 +65,12 @@
 public:
     RequestRun(const Scenario &scenario, const Layout &layout, std::uint64_t seed);
 
-    template <typename Way>
-    RequestResult play(Way &way)
+    template <typename Policy>
+    RequestResult play(Policy &policy)
     {
-        way.start();
-        scheduleFault([&way](Fault fault) { way.faulted(fault); });
-        m_arrive = [&way](const Job &job, std::size_t entry) { way.arrive(job, entry); };
+        policy.start();
+        scheduleFault([&policy](Fault fault) { policy.faulted(fault); });
+        m_arrive = [&policy](const Job &job, std::size_t entry) { policy.arrive(job, entry); };
         scheduleArrival();
         sim.run(TimePoint{} + scenario.length);
         finish();
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,6 +1,6 @@
 #include "policy/baselines.h"
 #include "policy/flow_run.h"
-#include "policy/product_way.h"
+#include "policy/product_policy.h"
 
 #include <algorithm>
 #include <ostream>
@@ -26,15 +26,15 @@
 [[nodiscard]] RequestResult ofProduct(const Scenario &scenario, const Layout &layout)
 {
     RequestRun run{scenario, layout, Seed};
-    ProductWay way{run};
-    return run.play(way);
+    ProductPolicy policy{run};
+    return run.play(policy);
 }
 
 [[nodiscard]] RequestResult ofShortestQueue(const Scenario &scenario, const Layout &layout)
 {
     RequestRun run{scenario, layout, Seed};
-    BaselineWay way{run, Baseline::ShortestQueue};
-    return run.play(way);
+    BaselinePolicy policy{run, Baseline::ShortestQueue};
+    return run.play(policy);
 }
 
 struct Case
@@ -117,7 +117,7 @@
     Scenario scenario;
     scenario.fault = *fault;
     scenario.length = 15s;
-    const FlowResult result = FlowRun{scenario, Layout{}, Seed, FlowWay::Product}.play();
+    const FlowResult result = FlowRun{scenario, Layout{}, Seed, FlowPolicy::Product}.play();
     const double imbalance = quantile(result.imbalance, 0.5);
     // Until the views show a death, the dead daemon's targets get no flows.
     cr_assert_leq(imbalance, *fault == Fault::DaemonDies ? 1.05 : 1.03, "fault %d: %.3f",
