--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -330,7 +330,7 @@
 };
 
 /// \brief One way to treat a datagram, and what was measured of it.
-struct Way
+struct RelayVariant
 {
     const char *name;
     const std::vector<std::string> &datagrams;
@@ -343,7 +343,7 @@
     const Endpoint to = sink.address();
     const Work bare = [to](std::string_view bytes) { return Outgoing{to, std::string{bytes}}; };
     Node node{traffic, to};
-    std::vector<Way> ways{
+    std::vector<RelayVariant> variants{
         {"bare relay", traffic.fromCallers, bare, {}},
         {"codec, to target",
          traffic.fromCallers,
@@ -363,16 +363,16 @@
          {}},
     };
     for (std::uint32_t round = 0; round < FLAGS_rounds; ++round) {
-        for (Way &way : ways) {
+        for (RelayVariant &variant : variants) {
             const Socket socket;
-            const Load load{way.datagrams, socket.address()};
-            way.rates.push_back(relay(socket, way.work));
+            const Load load{variant.datagrams, socket.address()};
+            variant.rates.push_back(relay(socket, variant.work));
         }
     }
-    const double base = median(ways.front().rates);
-    for (const Way &way : ways) {
-        const double rate = median(way.rates);
-        std::cout << std::left << std::setw(20) << way.name << std::right << std::setw(10)
+    const double base = median(variants.front().rates);
+    for (const RelayVariant &variant : variants) {
+        const double rate = median(variant.rates);
+        std::cout << std::left << std::setw(20) << variant.name << std::right << std::setw(10)
                   << std::fixed << std::setprecision(0) << rate << " datagrams/s of one core  "
                   << std::setprecision(2) << rate / base << " of the bare relay\n";
     }
