--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// \brief Random faults against real daemons, from outside: the store behind proxies that delay,
-/// reset and swallow, and so the daemons' ways to each other; daemons that are stopped, killed,
-/// paused and replaced, targets and routes that change meanwhile. Checks what callers and targets
-/// see.
+/// \brief Injects random faults into real daemon processes from outside and checks what callers and
+/// targets see. Proxies in front of the store and between the daemons delay, reset or drop traffic;
+/// daemons are stopped, killed, paused and replaced; targets and routes change meanwhile.
 ///
-/// A seed gives the same faults at the same times; what the processes do in between differs.
+/// The same seed gives the same faults at the same times, but the timing of the processes between
+/// them varies from run to run.
 
 #include "command_line.h"
 #include "core/random.h"
@@ -24,8 +24,8 @@
 DEFINE_uint32(callers, 16, "callers, each with a feed");
 DEFINE_uint32(large_changes, 8, "one in so many steps is a large change of the configuration");
 DEFINE_uint32(store_stalls, 0,
-              "milliseconds for which the store's process stands still again and again amid the "
-              "faults; 0 for never");
+              "duration in milliseconds of the periodic stalls of the store's process during the "
+              "faults; 0 for none");
 DEFINE_bool(verbose, false, "print each fault, and what the daemons print");
 DEFINE_string(keep, BAOBABTRAIL_BINARY_DIR "/soak",
               "directory for the logs of seeds that find something");
@@ -39,7 +39,7 @@
 using baobabtrail::soak::Verdict;
 using namespace std::chrono_literals;
 
-/// \brief One seed: a system, its faults, and the verdict.
+/// \brief Run of one seed: the system, its faults and the checks.
 class Soak
 {
 public:
@@ -56,10 +56,10 @@
         m_world.logDirectory = m_logs.directory();
     }
 
-    /// \return Where the logs are; they stay there.
+    /// \brief Retains the logs. \return Their directory.
     [[nodiscard]] std::string keepLogs() { return m_logs.keep(m_world.targetLog); }
 
-    /// \return What was broken; empty for nothing.
+    /// \return The failed checks; empty if all passed.
     std::vector<std::string> run()
     {
         begin();
@@ -77,7 +77,7 @@
             stalls.emplace(m_world, std::chrono::milliseconds{FLAGS_store_stalls});
         const auto end = World::Clock::now() + std::chrono::seconds{FLAGS_seconds};
         while (World::Clock::now() < end) {
-            // In series and overlapping: the next one often comes before the last is over.
+            // Faults may overlap: the next one often starts before the last one has ended.
             fault();
             largeChange();
             plannedOrLapsed();
@@ -164,9 +164,9 @@
         }
     }
 
-    /// \brief Now and then the configuration grows or shrinks by hundreds of routes, while a
-    /// daemon's link is thin. Its draws are its own, so that the other faults of a seed stay what
-    /// they were.
+    /// \brief At random steps adds or removes hundreds of routes while one daemon's link has a low
+    /// bandwidth. Uses a random generator of its own, so that the other faults of a seed stay the
+    /// same.
     void largeChange()
     {
         using Draw = boost::random::uniform_int_distribution<int>;
@@ -185,8 +185,9 @@
         later(5s, [this, thin] { m_world.peersOf(thin).setBytesPerSecond(0); });
     }
 
-    /// \brief Now and then a failure domain is evacuated or restored, or a third of the
-    /// registrations lapse and come back within two seconds. Draws of its own, as above.
+    /// \brief At random steps evacuates or restores a failure domain, or lets a third of the
+    /// registrations lapse, which return within two seconds. Uses a random generator of its own,
+    /// for the same reason as largeChange().
     void plannedOrLapsed()
     {
         using Draw = boost::random::uniform_int_distribution<int>;
@@ -226,7 +227,7 @@
         });
     }
 
-    /// \brief A target that lives registers within two seconds of the store's return.
+    /// \brief Re-registers a live target; during a store outage, within two seconds of its end.
     void reregister(std::size_t target)
     {
         if (m_storeIsWell)
@@ -264,7 +265,8 @@
         });
     }
 
-    /// \brief Harms connections through a proxy for a while. \param name Of the proxy, for the log.
+    /// \brief Disturbs the connections through a proxy for a random time.
+    /// \param name The proxy's name in the fault log.
     void harm(TcpProxy &proxy, const std::string &name)
     {
         using Mode = TcpProxy::Mode;
@@ -293,8 +295,8 @@
         const char *chosen = switches[static_cast<std::size_t>(draw(0, 4))];
         say(std::string{"store "} + chosen);
         m_world.setSwitches(chosen);
-        // Operators and targets of this process write to the store itself, not through a proxy;
-        // they hold back until it is well.
+        // The operators and targets in this process write to the store directly, not through a
+        // proxy, so they make no changes until it is healthy.
         m_storeHarmed = World::Clock::now() + 6s;
         m_storeIsWell = false;
         later(std::chrono::milliseconds{draw(300, 4000)}, [this] { healStore(); });
@@ -311,7 +313,8 @@
                   [this, target] { reregister(target); });
     }
 
-    /// \return A live target of which enough others are left.
+    /// \brief Removes a random target from the live ones.
+    /// \return The target, or nothing if too few would be left.
     std::optional<std::size_t> anyTarget()
     {
         if (m_live.size() < FLAGS_targets / 2 + 1)
@@ -322,8 +325,9 @@
         return target;
     }
 
-    // Only a store that answers, to daemons that are well, binds them to a bound; so the bound of a
-    // target that is drained amid faults is long: the faults of this soak, and their repair.
+    // The time limit for a drain can be required only while the store answers and the daemons are
+    // healthy. A target that is drained during faults therefore gets a long limit that covers the
+    // faults and the recovery from them.
     void drainOne()
     {
         if (storeAway())
@@ -376,7 +380,7 @@
 
     void heal()
     {
-        m_world.run(6s); // Whatever was to end later has ended by now.
+        m_world.run(6s); // Long enough for all timed faults to end.
         healStore();
         for (const std::uint64_t id : m_unregister)
             m_world.unregister(id);
@@ -407,14 +411,14 @@
     Random m_returnRandom;
     World m_world;
     Verdict m_verdict{m_world, m_logs};
-    std::vector<std::size_t> m_live; ///< Targets that neither drain nor crashed.
-    std::set<std::size_t> m_dead;    ///< Daemons that ended and are to be started again.
+    std::vector<std::size_t> m_live; ///< Targets that are neither draining nor crashed.
+    std::set<std::size_t> m_dead;    ///< Daemons that ended and are to be restarted.
     std::set<std::size_t> m_paused;
-    std::vector<std::uint64_t> m_unregister; ///< Gone targets that are still in the store.
+    std::vector<std::uint64_t> m_unregister; ///< Crashed targets that are still in the store.
     World::Clock::time_point m_storeHarmed{};
     bool m_storeIsWell = true;
-    std::vector<std::size_t> m_waitForStore; ///< Targets that can't register.
-    bool m_grown = false; ///< The configuration has many routes that nobody calls.
+    std::vector<std::size_t> m_waitForStore; ///< Targets to re-register after the store outage.
+    bool m_grown = false; ///< The configuration holds the many additional, unused routes.
 };
 
 /// \return Findings of all seeds.
@@ -440,12 +444,12 @@
 int main(int argc, char **argv)
 {
     readFlags(argc, argv,
-              "bench-soak [flags]: strikes real daemons with faults from outside, and judges what "
+              "bench-soak [flags]: injects faults into real daemons from outside and checks what "
               "callers and targets see");
     try {
         return runSeeds() == 0 ? 0 : 1;
     } catch (const std::exception &error) {
-        std::cerr << "the soak can't run: " << error.what() << '\n';
+        std::cerr << "bench-soak failed: " << error.what() << '\n';
         return 2;
     }
 }
--- a/bench/soak/soak_logs.h
+++ b/bench/soak/soak_logs.h
@@ -15,18 +15,19 @@
 using standins::TargetLog;
 using standins::TargetRun;
 
-/// \return Milliseconds since the epoch, as in every file beside the daemons' logs.
+/// \return Milliseconds since the Unix epoch, the time format of all files that the soak writes
+/// next to the daemons' logs.
 [[nodiscard]] inline std::int64_t unixMillis(std::chrono::system_clock::time_point time)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time.time_since_epoch()).count();
 }
 
-/// \brief What one seed leaves behind: the daemons' logs, the faults with their times, and what
-/// each target ran. Goes with its owner unless it is kept.
+/// \brief Log directory of one seed: the daemons' logs, the injected faults with their times, and
+/// the requests that each target ran. The destructor removes it unless keep() was called.
 class SoakLogs
 {
 public:
-    /// \param parent Directory that holds the seeds' directories.
+    /// \param parent Directory under which each seed gets its own directory.
     SoakLogs(const std::filesystem::path &parent, std::uint64_t seed)
         : m_directory(parent / ("seed-" + std::to_string(seed) + '-' + std::to_string(getpid())))
     {
@@ -35,7 +36,7 @@
     }
     ~SoakLogs()
     {
-        std::error_code ignored; // What can't be removed is only left over.
+        std::error_code ignored; // A failed removal only leaves files behind.
         if (!m_kept)
             std::filesystem::remove_all(m_directory, ignored);
     }
@@ -49,13 +50,13 @@
         m_faults << unixMillis(std::chrono::system_clock::now()) << ' ' << what << std::endl;
     }
 
-    /// \brief Writes a file beside the logs.
+    /// \brief Writes a file into the log directory.
     void add(const std::string &file, const std::string &text) const
     {
         std::ofstream{m_directory / file} << text;
     }
 
-    /// \return The last line of a daemon's log that has both words; empty for none.
+    /// \return The last line of a daemon's log that contains both words, or an empty string.
     [[nodiscard]] std::string lastLine(std::size_t daemon, const std::string &word,
                                        const std::string &other) const
     {
@@ -68,7 +69,8 @@
         return found;
     }
 
-    /// \return The directory.
+    /// \brief Retains the directory and writes the requests that ran to runs.log.
+    /// \return Path of the directory.
     std::string keep(const TargetLog &targets)
     {
         m_kept = true;
--- a/bench/soak/store_stalls.h
+++ b/bench/soak/store_stalls.h
@@ -11,13 +11,14 @@
 
 namespace baobabtrail::soak {
 
-/// \brief Stops the store's process for a moment again and again, as a busy machine does by chance.
-/// Whoever waits for its answer stands still too: the soak's own process, and with it all callers,
-/// targets and proxies.
+/// \brief Periodically stops the store's process for a short time, as an overloaded machine does.
+/// A process that waits for the store's answer stalls too: the soak process itself, and with it all
+/// callers, targets and proxies.
 class StoreStalls
 {
 public:
-    /// \param world Must outlive the stalls. \param stall How long each of them lasts.
+    /// \param world Must outlive this object.
+    /// \param stall Duration of each stall.
     StoreStalls(const standins::World &world, std::chrono::milliseconds stall)
         : m_world(world)
         , m_stall(stall)
@@ -28,7 +29,7 @@
 private:
     static constexpr std::chrono::milliseconds Between{350};
 
-    // In a thread of its own: the soak's is the one that stands still.
+    // Runs in a thread of its own, since the soak's main thread is blocked during a stall.
     void run(const std::stop_token &stop)
     {
         while (!stop.stop_requested()) {
@@ -49,7 +50,7 @@
     std::chrono::milliseconds m_stall;
     std::mutex m_mutex;
     std::condition_variable_any m_changed;
-    std::jthread m_thread; ///< The last member: it uses the others from its start to its end.
+    std::jthread m_thread; ///< Last member, as the thread uses all the others.
 };
 
 } // namespace baobabtrail::soak
--- a/bench/soak/verdict.h
+++ b/bench/soak/verdict.h
@@ -17,11 +17,11 @@
 using standins::CallerLog;
 using standins::World;
 
-/// \brief What one seed has broken, as callers, targets and the daemons' own pages show it.
+/// \brief Checks of one seed's outcome, by what callers, targets and the daemons' metrics report.
 class Verdict
 {
 public:
-    /// \param world, logs Must outlive the verdict.
+    /// \param world,logs Must outlive this object.
     Verdict(World &world, const SoakLogs &logs)
         : m_world(world)
         , m_logs(logs)
@@ -36,23 +36,24 @@
             m_findings.push_back(finding);
     }
 
-    /// \brief The daemon has to act by the newest configuration, and to say so.
+    /// \brief Checks that the daemon has the newest configuration in force and reports its version.
     void judgeConfiguration(std::size_t index)
     {
         const std::string daemon = "daemon " + std::to_string(index);
         const std::string page = metricsOf(index);
         m_logs.add("metrics" + std::to_string(index) + ".txt", page);
         const auto inForce = configurationOn(page);
-        expect(inForce.has_value(), daemon + " tells of no configuration");
+        expect(inForce.has_value(), daemon + " reports no configuration version");
         if (!inForce || *inForce == m_world.newestConfiguration())
             return;
-        m_findings.push_back(daemon + " acts by an old configuration: " + std::to_string(*inForce)
+        m_findings.push_back(daemon + " uses an old configuration: " + std::to_string(*inForce)
                              + ", the newest is " + std::to_string(m_world.newestConfiguration())
                              + ", the store has " + std::to_string(m_world.storedConfiguration())
                              + "; its log: " + m_logs.lastLine(index, "routes_in_force", "config"));
     }
 
-    /// \brief Lets all callers ask once more, and judges all that callers and targets have seen.
+    /// \brief Sends a last round of requests from all callers, then checks everything that callers
+    /// and targets have seen.
     void judgeTraffic()
     {
         const CallerLog before = m_world.callerLog;
@@ -68,8 +69,8 @@
     }
 
 private:
-    /// \return A daemon's page of metrics. One that it gives only when it is asked again, or not at
-    /// all, is no old configuration.
+    /// \return A daemon's metrics page. A page that arrives only on the second attempt, or not at
+    /// all, is a finding of its own, distinct from an old configuration.
     [[nodiscard]] std::string metricsOf(std::size_t index)
     {
         const auto askedAt = World::Clock::now();
@@ -78,12 +79,12 @@
             return page;
         const std::chrono::duration<double, std::milli> waited = World::Clock::now() - askedAt;
         m_findings.push_back("daemon " + std::to_string(index)
-                             + " gave no page of metrics in time (asked "
+                             + " did not serve its metrics page in time (requested "
                              + std::to_string(std::lround(waited.count())) + " ms ago)");
         return m_world.metricsOf(index);
     }
 
-    /// \return Version of the configuration in force, as a page of metrics says.
+    /// \return Version of the configuration in force as given on a metrics page.
     [[nodiscard]] static std::optional<std::uint64_t> configurationOn(const std::string &page)
     {
         constexpr std::string_view name = "\nbaobabtrail_config_version ";
@@ -93,7 +94,7 @@
         return std::stoull(page.substr(line + name.size()));
     }
 
-    /// \return Answers that the feed of each caller has got so far.
+    /// \return Number of answers that each caller's feed has received so far.
     [[nodiscard]] std::vector<std::size_t> feedAnswers() const
     {
         std::vector<std::size_t> answers;
@@ -138,13 +139,13 @@
         expect(targets.evacuatedOpens == 0,
                std::to_string(targets.evacuatedOpens) + " flows opened in an evacuated domain");
         expect(targets.coldOpens == 0,
-               std::to_string(targets.coldOpens) + " flows beyond what a cold target bears");
+               std::to_string(targets.coldOpens) + " flows above the limit of a cold target");
         const auto twice = std::count_if(targets.runs.begin(), targets.runs.end(),
                                          [](const auto &item) { return item.second > 1; });
         expect(twice == 0, std::to_string(twice) + " requests ran twice");
     }
 
-    /// \return The flow, the daemon that ended it, and what that daemon said last of the flow.
+    /// \return The flow, the daemon that ended it, and that daemon's last log line about the flow.
     [[nodiscard]] std::string describe(const BrokenFlow &broken) const
     {
         const std::string flow = toString(broken.caller) + '>' + toString(broken.route);
