--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// \brief Measures the placement of requests and flows against baselines, in virtual time.
+/// \brief Compares the product's placement of requests and flows with baseline policies, in a
+/// simulation with virtual time.
 
 #include "bench/policy/baselines.h"
 #include "bench/policy/decision_cost.h"
@@ -119,8 +120,9 @@
     };
 }
 
-/// The rendezvous hash gives some daemons more targets than others, and with the queues of one
-/// owner shared that matters: one set of ids says little.
+/// \brief Repeats one scenario with several sets of daemon ids. The rendezvous hash gives some
+/// daemons more targets than others, and as an owner shares the queues of its targets, this affects
+/// the result: a single set of ids isn't representative.
 void compareOwnerships(std::uint32_t slots)
 {
     const Scenario steady{"steady 90%, by ownership", 0.9, false, Fault::None, false, 60s};
@@ -191,7 +193,8 @@
 int main(int argc, char **argv)
 {
     baobabtrail::readFlags(
-        argc, argv, "bench-policy [flags]: ways to place flows and requests, in virtual time");
+        argc, argv,
+        "bench-policy [flags]: compares placement policies for flows and requests in virtual time");
     std::printf("bench-policy --seed=%llu\n", static_cast<unsigned long long>(FLAGS_seed));
     std::printf(
         "  way                p50 ms  p99 ms p99.9ms  /best  imb@t imb+q  goodput  refused%% "
--- a/bench/policy/baselines.h
+++ b/bench/policy/baselines.h
@@ -9,12 +9,13 @@
 
 enum class Baseline {
     Random,
-    TwoLocalCounts, ///< Less of two by the jobs that this daemon has out.
-    ShortestQueue,  ///< All-knowing: the shortest queue of all, known at once and everywhere.
+    TwoLocalCounts, ///< The less loaded of two random targets, by this daemon's jobs in progress.
+    ShortestQueue,  ///< The shortest queue of all, with perfect and immediate knowledge.
 };
 
-/// \brief Ways without owners: the daemon that is reached sends the job to a target itself, once
-/// the caller has its reservation. The target's queue is as long as an owner's would be.
+/// \brief Placement policies without target owners: the entry daemon sends the job to a target
+/// itself as soon as the caller has its reservation. The target's queue has the capacity that an
+/// owner's queue would have.
 class BaselinePolicy
 {
 public:
--- a/bench/policy/fleet.h
+++ b/bench/policy/fleet.h
@@ -10,14 +10,14 @@
 
 namespace baobabtrail::bench {
 
-/// \brief Sizes of one run.
+/// \brief Numbers of daemons, targets, slots and failure domains of one run.
 struct Layout
 {
     std::size_t targets = 14;
     std::uint32_t slots = 2;
     std::size_t daemons = 8;
     std::size_t domains = 1;
-    std::uint64_t firstDaemon = 1; ///< Id of the first daemon; decides who owns which target.
+    std::uint64_t firstDaemon = 1; ///< Id of the first daemon; determines the targets' owners.
 };
 
 [[nodiscard]] inline ServiceId theService()
@@ -68,7 +68,7 @@
     return config;
 }
 
-/// \brief The view that one daemon has of those that are alive.
+/// \brief Membership view of one daemon: the daemons that it sees alive.
 [[nodiscard]] inline ViewPtr viewOf(std::size_t self, const Layout &layout,
                                     const std::vector<bool> &alive)
 {
--- a/bench/policy/flow_run.h
+++ b/bench/policy/flow_run.h
@@ -17,13 +17,13 @@
 
 struct FlowResult
 {
-    std::vector<double> imbalance; ///< Max over mean of connections held per weight.
-    std::vector<double> least;     ///< Min over mean.
-    double faultyShare = 1;        ///< Opens that the faulty target got, over its even share.
+    std::vector<double> imbalance; ///< Maximum over mean of open connections per weight.
+    std::vector<double> least;     ///< Minimum over mean of the same.
+    double faultyShare = 1;        ///< Flows opened at the faulty target, over its even share.
     std::uint64_t refused = 0;
 };
 
-/// \brief Flows that come and go; each way places the same ones.
+/// \brief Simulation of flows that open and close; every policy places the same flows.
 class FlowRun
 {
 public:
@@ -167,7 +167,7 @@
     {
         const double steady
             = HeldPerTarget * static_cast<double>(m_layout.targets) / MeanLifeSeconds;
-        // The flows that stand at the beginning come within the first two seconds.
+        // The initial population of flows opens within the first two seconds.
         const bool filling = m_sim.now() < TimePoint{} + 2s;
         const double rate
             = filling ? HeldPerTarget * static_cast<double>(m_layout.targets) / 2 : steady;
@@ -207,7 +207,8 @@
         double sum = 0;
         double count = 0;
         for (std::size_t i = 0; i < m_held.size(); ++i) {
-            // A target that just came can't be level yet; what counts is that nobody is above.
+            // Targets that take no new flows aren't counted. A target that was just added can't
+            // have its full share yet; what matters is that no target holds too many.
             if (!m_open[i])
                 continue;
             const double load = m_held[i] / static_cast<double>(m_weight[i]);
--- a/bench/policy/product_policy.h
+++ b/bench/policy/product_policy.h
@@ -11,13 +11,13 @@
 
 namespace baobabtrail::bench {
 
-/// \brief The product's own TargetTable and AdmissionQueue on every daemon, with a small stand-in
-/// for the daemon around them.
+/// \brief The product's placement: its TargetTable and AdmissionQueue on every daemon, with a
+/// minimal simulation of the rest of the daemon.
 class ProductPolicy
 {
 public:
-    /// \param shared Whether a target that comes free takes from the queues of the same daemon's
-    /// other targets.
+    /// \param shared Whether a target with a free slot takes requests from the queues of the same
+    /// daemon's other targets.
     explicit ProductPolicy(RequestRun &run, bool shared = true)
         : m_run(run)
         , m_shared(shared)
@@ -191,13 +191,14 @@
             return;
         }
         ++ask.hops;
-        // Handed over from another domain, the ask meets a daemon that need not own the target.
+        // A request handed over from another domain may reach a daemon that doesn't own the target.
         if (table.owns(target))
             ask.declined.push_back(load);
         route(at, std::move(ask));
     }
 
-    /// Nothing better is known: the ask stays with the target that declined it last, if it can.
+    /// \brief Ends the search: queues the request at the target that declined it last, or refuses
+    /// it if that target takes no work.
     void settle(std::size_t at, const Ask &ask)
     {
         if (!ask.declined.empty()
@@ -213,7 +214,8 @@
         reply(at, ask, [this, job = ask.job] { m_run.refused(job); });
     }
 
-    /// The reply goes back through the entry daemon and brings it the loads of this daemon.
+    /// \brief Sends the reply through the entry daemon, with the loads of this daemon's targets as
+    /// hints for it.
     void reply(std::size_t at, const Ask &ask, std::function<void()> atCaller)
     {
         std::vector<LoadHint> hints = ask.declined;
@@ -262,7 +264,8 @@
         --m_run.targets[m_index[target]].assigned;
     }
 
-    /// The caller gets its reservation and sends the data, through any daemon, to the owner.
+    /// \brief Gives the caller its reservation; the caller then sends the data to the owner through
+    /// any daemon.
     void reserved(std::size_t at, TargetId target, const RequestId &id)
     {
         const std::size_t through = m_run.someEntry();
--- a/bench/policy/request_run.h
+++ b/bench/policy/request_run.h
@@ -14,7 +14,7 @@
 
 namespace baobabtrail::bench {
 
-/// \brief One request, the same for every way that is compared.
+/// \brief One request; the sequence of requests is the same for all policies.
 struct Job
 {
     RequestId id;
@@ -22,10 +22,10 @@
     TimePoint deadline;
     RequestClass requestClass = RequestClass::Normal;
     std::string workspace = "school";
-    double work = 1.0; ///< Over the mean service time.
+    double work = 1.0; ///< As a multiple of the mean service time.
 };
 
-/// \brief A target: as many servers as slots, and a short queue in front of them.
+/// \brief Simulated target: one server for each slot, with a short queue in front of them.
 struct FakeTarget
 {
     std::uint32_t slots = 2;
@@ -33,9 +33,9 @@
     std::uint32_t assigned = 0; ///< Running, queued here, or waiting at a daemon for this target.
     std::deque<std::function<void()>> queue;
     double slowness = 1.0;
-    bool placeable = true;                             ///< In the configuration and not drained.
+    bool placeable = true;                             ///< In the configuration and not draining.
     bool owned = true;                                 ///< False while its owner is dead.
-    std::deque<std::pair<TimePoint, LoadReport>> past; ///< For reports that come late.
+    std::deque<std::pair<TimePoint, LoadReport>> past; ///< Earlier reports, for delayed ones.
 };
 
 struct ClassResult
@@ -45,21 +45,21 @@
     std::uint64_t answered = 0;
 };
 
-/// \brief What one way made of one scenario.
+/// \brief Results of one policy in one scenario.
 struct RequestResult
 {
     std::vector<double> latencies; ///< Milliseconds.
-    std::vector<double> imbalance; ///< Max over mean of assigned requests, at each arrival.
-    std::vector<double> atTarget;  ///< The same of requests inside the targets.
+    std::vector<double> imbalance; ///< Maximum over mean of assigned requests, at each arrival.
+    std::vector<double> atTarget;  ///< The same for the requests inside the targets.
     std::array<ClassResult, RequestClassCount> classes;
     std::map<std::string, ClassResult> workspaces;
-    std::vector<double> refusalTimes; ///< Milliseconds from the ask to the refusal.
-    std::uint64_t lost = 0;           ///< Deadline passed or owner died.
+    std::vector<double> refusalTimes; ///< Milliseconds from the request to the refusal.
+    std::uint64_t lost = 0;           ///< Requests whose deadline passed or whose owner died.
     std::uint64_t hops = 0;           ///< Datagrams between daemons before the reservation.
-    double goodput = 0;               ///< Answered work over the capacity.
+    double goodput = 0;               ///< Answered work over the capacity of the targets.
 };
 
-/// \brief The world of one run: targets, arrivals, measures. A Way places the jobs.
+/// \brief Simulation of one run: targets, arrivals and measurements. A policy places the jobs.
 class RequestRun
 {
 public:
@@ -89,7 +89,8 @@
     [[nodiscard]] std::size_t someEntry();
     [[nodiscard]] bool measuring() const;
 
-    /// \brief The job reaches the target; \a done is called at its end.
+    /// \brief Delivers the job to the target.
+    /// \param done Called when the job has ended.
     void serve(std::size_t target, const Job &job, std::function<void()> done);
     [[nodiscard]] LoadReport reportOf(std::size_t target);
     void answered(const Job &job);
@@ -100,8 +101,8 @@
     Layout layout;
     Simulator sim;
     std::vector<FakeTarget> targets;
-    std::vector<bool> daemonUp;   ///< Runs.
-    std::vector<bool> daemonSeen; ///< Gets packets from the fabric.
+    std::vector<bool> daemonUp;   ///< Whether the daemon runs.
+    std::vector<bool> daemonSeen; ///< Whether the fabric sends it packets.
     RequestResult result;
 
 private:
@@ -114,7 +115,7 @@
     void finish();
     [[nodiscard]] Job makeJob();
 
-    Random m_jobs; ///< Apart from the simulator's, so that every way gets the same jobs.
+    Random m_jobs; ///< Separate from the simulator's, so that all policies get the same jobs.
     std::function<void(const Job &, std::size_t)> m_arrive;
     std::uint64_t m_count = 0;
     bool m_burst = false;
--- a/bench/policy/request_run_impl.h
+++ b/bench/policy/request_run_impl.h
@@ -62,7 +62,8 @@
         return job;
     boost::random::uniform_real_distribution<double> part{0, 1};
     const double kind = part(m_jobs);
-    // The flood comes in the class of the swaps; three workspaces share the rest evenly.
+    // The flooding workspace sends in the class of the swaps; three workspaces share the rest
+    // evenly.
     if (part(m_jobs) < 0.7) {
         job.workspace = "flood";
         job.requestClass = RequestClass::Normal;
@@ -81,7 +82,7 @@
                             / std::chrono::duration<double>(MeanService).count();
     double rate = scenario.load * capacity;
     if (scenario.bursty) {
-        // A fifth of the time at twice the rate, in bursts of a fifth of a second.
+        // Bursts of a fifth of a second at twice the rate, for a fifth of the time.
         if (sim.now() >= m_burstUntil) {
             m_burst = !m_burst;
             const double mean = m_burst ? 0.2 : 0.8;
--- a/bench/policy/scenario.h
+++ b/bench/policy/scenario.h
@@ -11,29 +11,31 @@
 
 enum class Fault {
     None,
-    SlowTarget, ///< One target takes five times as long.
-    ColdTarget, ///< One target is added; it is four times slower at first, level after ten seconds.
-    LyingEmpty, ///< One target always reports that it runs and holds nothing.
-    LyingFull,  ///< One target always reports that it is full.
-    LateReports, ///< All reports are one second old.
+    SlowTarget,  ///< One target takes five times as long.
+    ColdTarget,  ///< One target is added; it starts four times slower and is normal after ten
+                 ///< seconds.
+    LyingEmpty,  ///< One target always reports no running requests and no open flows.
+    LyingFull,   ///< One target always reports that it is full.
+    LateReports, ///< All load reports are delayed by one second.
     Drain,       ///< One target is drained.
     DaemonJoins, ///< One daemon starts.
-    DaemonDies,  ///< One daemon dies; the others' views show it viewDelay later.
+    DaemonDies,  ///< One daemon dies; the others' views show it after viewDelay.
     HalfWeight,  ///< One target's weight is halved (flows only).
 };
 
-/// \brief What is offered and what goes wrong.
+/// \brief Offered load and the fault of one run.
 struct Scenario
 {
     std::string name;
-    double load = 0.9; ///< Offered over the capacity of all targets.
+    double load = 0.9; ///< Offered load over the capacity of all targets.
     bool bursty = false;
     Fault fault = Fault::None;
-    bool mixed = false; ///< Three classes, and one of four workspaces sends seven tenths of all.
+    /// Three classes; one of four workspaces sends seven tenths of the requests.
+    bool mixed = false;
     Duration length = 60s;
     Duration faultAt = 5s;
     Duration measuredFrom = 2s;
-    Duration viewDelay = 5s; ///< From a daemon's death to the others' new views.
+    Duration viewDelay = 5s; ///< Time from a daemon's death until the other daemons' views show it.
 };
 
 inline constexpr Duration MeanService = 20ms;
--- a/bench/policy/simulator.h
+++ b/bench/policy/simulator.h
@@ -15,7 +15,8 @@
 
 namespace baobabtrail::bench {
 
-/// \brief Virtual time: events run in the order of their times, ties in the order of their making.
+/// \brief Discrete-event simulator: events run in order of time, those of the same time in the
+/// order in which they were added.
 class Simulator
 {
 public:
@@ -34,7 +35,7 @@
     void run(TimePoint until)
     {
         while (!m_events.empty() && m_events.top().at <= until) {
-            // Moved out, as the event may add others while it runs.
+            // Moved out of the queue first, as the event may add others while it runs.
             Event event = std::move(const_cast<Event &>(m_events.top()));
             m_events.pop();
             m_now = event.at;
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -57,8 +57,8 @@
     return cr_make_param_array(Case, cases, std::size(cases));
 }
 
-// Callers see the tail of the latency: with a fault, from two seconds after it on.
-// The bound knows every queue at once and is spared the hop to an owner.
+// Guards the tail latency that callers see; with a fault, measured from two seconds after it on.
+// The reference policy knows every queue immediately and needs no hop to an owner.
 ParameterizedTest(Case *param, policy, tailStaysNearTheAllKnowingQueue)
 {
     Scenario scenario;
@@ -73,8 +73,8 @@
                   static_cast<int>(param->fault), param->slots, ratio);
     if (param->load >= 0.9)
         cr_assert_leq(quantile(ours.atTarget, 0.5), 1.15);
-    // A daemon that dies takes its targets' slots along until the views show it: three or four of
-    // fourteen, so that the rest is all but full for three of the seconds that are measured.
+    // The targets of a dead daemon are unavailable until the views show its death: three or four of
+    // fourteen, so that the others are almost full for three of the measured seconds.
     const std::uint64_t most
         = param->fault == Fault::DaemonDies ? ours.classes[1].offered / 200 : 0;
     cr_assert_leq(ours.classes[1].refused, most, "fault %d: %llu refused",
@@ -82,9 +82,9 @@
                   static_cast<unsigned long long>(ours.classes[1].refused));
 }
 
-// Twice the capacity is offered, seven tenths of it by one workspace.
-// The targets stay busy with work that is answered, pass checks get through, most refusals come at
-// once, and the other workspaces get more of their work done than the one that floods.
+// Offers twice the capacity, seven tenths of it by one workspace. The targets must stay busy with
+// work that is answered, pass checks must get through, most refusals must be immediate, and the
+// other workspaces must get a larger share answered than the flooding one.
 Test(policy, overloadRefusesAtOnceAndPassChecksLeast)
 {
     Scenario scenario;
@@ -119,7 +119,7 @@
     scenario.length = 15s;
     const FlowResult result = FlowRun{scenario, Layout{}, Seed, FlowPolicy::Product}.play();
     const double imbalance = quantile(result.imbalance, 0.5);
-    // Until the views show a death, the dead daemon's targets get no flows.
+    // The dead daemon's targets get no flows until the views show its death.
     cr_assert_leq(imbalance, *fault == Fault::DaemonDies ? 1.05 : 1.03, "fault %d: %.3f",
                   static_cast<int>(*fault), imbalance);
     cr_assert_geq(quantile(result.least, 0.5), 0.95);
