--- a/bench/random/random_placement.cpp
+++ b/bench/random/random_placement.cpp
@@ -1,6 +1,7 @@
-// Placement of the baseline: any active target of the service, by chance, and
-// no second try. Linked in front of the product's placement, it makes bench-random-daemon, so that
-// both ways run in the same processes otherwise.
+/// \file
+/// \brief Placement of the baseline: a random active target of the service, without a second
+/// attempt. bench-random-daemon links it before the product's placement, which it thus replaces, so
+/// that the two daemons differ in nothing else.
 
 #include "core/targets/impl/table.h"
 
--- a/bench/whole.cpp
+++ b/bench/whole.cpp
@@ -1,16 +1,19 @@
-// Both users' deployments at the brief's sizes, through real processes on loopback, with the
-// changes and failures of an hour in 40 s of traffic; each once with the product's daemon and once
-// with bench-random-daemon, the same with placement by chance. Bounded: 4 runs of about a minute,
-// some 35 processes at a time.
-//     build/release/bench-whole [--scale 1.0]
+/// \file
+/// \brief End-to-end benchmark: both users' deployments at full size as real processes on loopback,
+/// with the changes and failures of an hour in 40 s of traffic.
+///
+/// Each deployment runs once with the product's daemon and once with bench-random-daemon, the same
+/// daemon with random placement: 4 runs of about a minute each, with some 35 processes at a time.
+///
+///     build/release/bench-whole [--scale 1.0]
 
 #include "command_line.h"
 #include "whole/run.h"
 
 #include <cstdio>
 
-DEFINE_double(scale, 1.0, "share of the connections; the request rates stay");
-DEFINE_bool(baseline, true, "whether the baseline runs beside the product");
+DEFINE_double(scale, 1.0, "factor for the number of connections; the request rates don't change");
+DEFINE_bool(baseline, true, "whether to run the baseline as well as the product");
 DEFINE_string(only, "", "tenant of the one deployment to run");
 
 namespace {
@@ -37,7 +40,7 @@
 int main(int argc, char **argv)
 {
     baobabtrail::readFlags(argc, argv,
-                           "bench-whole [flags]: both users' deployments as real processes");
+                           "bench-whole [flags]: runs both users' deployments as real processes");
     RunPlan run;
     run.scale = FLAGS_scale;
     std::printf("| deployment | placement | flows opened / open / broken | imbalance of flows "
--- a/bench/whole/plan.h
+++ b/bench/whole/plan.h
@@ -14,25 +14,25 @@
     std::size_t targets = 0;
     unsigned slots = 1;
     unsigned connectionsPerTarget = 0;
-    double load = 0.7; ///< Share of the targets' capacity that is asked for.
+    double load = 0.7; ///< Offered load over the targets' capacity.
 };
 
-/// \brief One user's deployment at the brief's sizes.
+/// \brief One user's deployment at full size.
 struct DeploymentPlan
 {
     std::string workspace;
     std::vector<std::string> domains;
-    std::vector<ServicePlan> services; ///< The main one first.
+    std::vector<ServicePlan> services; ///< The main service comes first.
     std::size_t daemons = 8;
 };
 
-/// \brief What is the same in all runs.
+/// \brief Settings that all runs share.
 struct RunPlan
 {
     std::chrono::seconds traffic{40};
     std::chrono::microseconds serviceTime{40000};
     std::chrono::milliseconds keepAlive{5000};
-    double scale = 1.0; ///< Of the connections; the request rates follow the slots.
+    double scale = 1.0; ///< Factor for the connections; request rates depend on the slots.
 };
 
 [[nodiscard]] inline DeploymentPlan alexandria()
--- a/bench/whole/run.h
+++ b/bench/whole/run.h
@@ -10,7 +10,7 @@
 
 namespace baobabtrail::bench {
 
-/// \brief What one run of a deployment came to.
+/// \brief Results of one run of a deployment.
 struct Report
 {
     std::int64_t flowsOpened = 0;
@@ -24,12 +24,12 @@
     double weightSent = 0;     ///< Urgent requests count double.
     double weightAnswered = 0; ///< Urgent requests count double.
     std::int64_t duplicates = 0;
-    double requestImbalance = 0; ///< Median over seconds of most over mean, main service.
-    double flowImbalance = 0;    ///< The same of connections held.
+    double requestImbalance = 0; ///< Median over all seconds of maximum over mean, main service.
+    double flowImbalance = 0;    ///< The same for open connections.
     double p50 = 0;              ///< Milliseconds, main service.
     double p99 = 0;
     double p999 = 0;
-    std::vector<double> timesToForce; ///< Seconds, from the command to the wait's return.
+    std::vector<double> timesToForce; ///< Seconds from the command until the wait for it returned.
 };
 
 /// \brief Runs one deployment under load, with the changes and failures of an hour in 40 s.
@@ -97,7 +97,7 @@
                      "--seed=" + std::to_string(seed), "--fabric=" + m_system.callersAddress()})});
     }
 
-    /// The changes and failures, by the second.
+    /// \brief Applies the changes and failures that are scheduled for this second.
     void act(std::size_t second)
     {
         const std::string main = m_system.plan().workspace + '/' + m_system.plan().services[0].name;
@@ -120,7 +120,7 @@
         case 29:
             return change("undrain target " + main + "/t1", "undrain");
         case 32:
-            return startCaller(0, 1, 999, 3s, 1.0, false); // more than the targets can do
+            return startCaller(0, 1, 999, 3s, 1.0, false); // more than the targets can handle
         default:
             return;
         }
@@ -131,7 +131,7 @@
         const auto began = std::chrono::steady_clock::now();
         if (m_system.control(statement, id) != 0
             || m_system.control("wait for change " + id + " timeout 10s") != 0)
-            throw std::runtime_error("change " + id + " did not come into force");
+            throw std::runtime_error("change " + id + " did not take effect");
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
         m_report.timesToForce.push_back(took.count());
     }
@@ -166,7 +166,8 @@
         return values[values.size() / 2];
     }
 
-    /// Why flows were reset or refused and requests not run, as the daemons counted it.
+    /// \brief Prints by cause how many flows were reset or refused and how many requests didn't
+    /// run, from the daemons' counters.
     void explain() const
     {
         std::map<std::string, double> sums;
@@ -188,7 +189,8 @@
         std::size_t mainCallers = 0;
         for (Caller &caller : m_callers) {
             const std::string line = caller.process->readLine();
-            // The ids of all requests follow; unread they would fill the pipe and hold the caller.
+            // Reads the ids of all requests that follow; unread, they would fill the pipe and block
+            // the caller.
             while (!caller.process->readLine().empty())
                 continue;
             caller.process->waitForEnd();
--- a/bench/whole/system.h
+++ b/bench/whole/system.h
@@ -33,7 +33,7 @@
 class System
 {
 public:
-    /// \param daemonProgram baobabtraild, or the baseline.
+    /// \param daemonProgram baobabtraild or the baseline, bench-random-daemon.
     System(DeploymentPlan plan, const RunPlan &run, std::string daemonProgram)
         : m_plan(std::move(plan))
         , m_daemonProgram(std::move(daemonProgram))
@@ -50,7 +50,8 @@
     System(const System &) = delete;
     System &operator=(const System &) = delete;
 
-    /// \return Exit status of baobabctl, asked at any daemon.
+    /// \brief Runs a statement with baobabctl, which may send it to any daemon.
+    /// \return Exit status of baobabctl.
     int control(const std::string &statement, const std::string &changeId = {})
     {
         std::string daemons;
@@ -65,8 +66,8 @@
     }
 
     /// \brief Ends a daemon and starts another one in its failure domain.
-    /// \param signal SIGTERM, after which the fabric forgets it at once, or SIGKILL, after which
-    /// the fabric goes on spraying at it for a second.
+    /// \param signal SIGTERM, after which the fabric removes the daemon immediately, or SIGKILL,
+    /// after which the fabric keeps sending packets to it for a second.
     void replaceDaemon(std::size_t index, int signal)
     {
         using namespace std::chrono_literals;
@@ -98,7 +99,7 @@
             .as_object();
     }
 
-    /// \brief Sum of a counter over all daemons, by its labels.
+    /// \return Sum of a counter over all daemons, by labels.
     void addMetrics(const std::string &family, std::map<std::string, double> &sums) const
     {
         for (const Daemon &daemon : m_daemons) {
@@ -127,7 +128,7 @@
     struct Daemon
     {
         std::size_t id = 0;
-        Ports ports; ///< Data, peer, records, administration.
+        Ports ports; ///< Data, peer, records and administration ports, in this order.
         std::unique_ptr<Process> process;
     };
 
@@ -139,7 +140,7 @@
         return m_plan.domains.at(index % m_plan.domains.size());
     }
 
-    /// Sum over all daemons of the members that each sees in its failure domain.
+    /// \return Sum over all daemons of the members that each sees in its own failure domain.
     [[nodiscard]] double membersSeen() const
     {
         std::map<std::string, double> sums;
