--- a/bench/daemon.cpp
+++ b/bench/daemon.cpp
@@ -110,12 +110,12 @@
     void receive(std::vector<char> &buffer)
     {
         pollfd wait{m_socket.native_handle(), POLLIN, 0};
-        if (poll(&wait, 1, MostWaitMs) <= 0)
+        if (poll(&wait, 1, MaxWaitMs) <= 0)
             throw std::runtime_error("a datagram was not passed on");
         m_socket.receive(boost::asio::buffer(buffer));
     }
 
-    static constexpr int MostWaitMs = 2000;
+    static constexpr int MaxWaitMs = 2000;
 
     boost::asio::io_context m_context;
     udp::socket m_socket;
--- a/bench/directory.cpp
+++ b/bench/directory.cpp
@@ -25,7 +25,7 @@
 /// Of each message on top of its body: an HTTP head, IP and TCP heads, and those of an
 /// acknowledgement of its own for every second one: the next question acknowledges the last answer.
 /// Worked out from the formats, not measured.
-constexpr std::uint64_t HeadBytes = 64 + 52 + 52 / 2;
+constexpr std::uint64_t MessageOverheadBytes = 64 + 52 + 52 / 2;
 constexpr Duration SettleTime = 20s;
 constexpr Duration Outage = 10s;
 constexpr int Changes = 20;
@@ -103,7 +103,7 @@
     [[nodiscard]] std::uint64_t bytesOf(std::size_t index) const
     {
         const auto [bytes, messages] = m_cluster.sentBy(index);
-        return bytes + messages * HeadBytes;
+        return bytes + messages * MessageOverheadBytes;
     }
 
     /// \return Milliseconds until a change is in force on half of the daemons, and on the last one;
