--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,6 +1,8 @@
-// State and processor time of one daemon's traffic side at the size to design for: slopes over
-// targets, members, request records and pending opens, from one TrafficNode in one process.
-// docs/CAPACITY.md quotes what this prints.
+/// \file
+/// \brief Memory and processor time of one daemon's traffic side at the design size.
+///
+/// Measures how they grow with targets, members, request records and pending opens, with one
+/// TrafficNode in this process. docs/CAPACITY.md quotes the output.
 
 #include "command_line.h"
 #include "core/traffic/traffic_node.h"
@@ -41,7 +43,7 @@
     return "domain-" + std::to_string(index);
 }
 
-/// \brief Every service has its targets in all domains in turn, as far as they go.
+/// \brief Builds a configuration that spreads the targets over services and domains in turn.
 [[nodiscard]] std::shared_ptr<Config> makeConfig(std::uint32_t targets, Revision revision)
 {
     auto config = std::make_shared<Config>();
@@ -94,7 +96,7 @@
     return view;
 }
 
-/// \brief One daemon, driven by hand.
+/// \brief The traffic side of one daemon, fed with events directly.
 class Daemon
 {
 public:
@@ -163,7 +165,7 @@
     }
 }
 
-/// A daemon alone with one service of one target, so that everything ends at itself.
+/// \brief A single daemon with one service and one target, so that it handles everything itself.
 class Single
 {
 public:
@@ -226,7 +228,8 @@
                 kept == 0 ? 0.0 : bytes / static_cast<double>(kept));
 }
 
-/// TCP and IP headers of a segment, with timestamps; each message and each bare acknowledgement.
+/// \brief TCP and IP headers of a segment, with TCP timestamps. Applies to each message and each
+/// bare acknowledgement.
 constexpr std::size_t SegmentHeaderBytes = 52;
 
 void printHello()
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,5 +1,6 @@
-// Costs and delays of the control side as functions of the number of daemons and of changes, in
-// virtual time: platform calls and bytes are exact, delays follow from the latencies of the fake.
+/// \file
+/// \brief Costs and delays of the control side by number of daemons and of changes, in virtual
+/// time. Platform calls and bytes are exact; delays depend on the latencies of the fake network.
 
 #include "command_line.h"
 #include "core/config/apply.h"
@@ -21,8 +22,8 @@
 #include <iostream>
 #include <vector>
 
-DEFINE_uint64(largest, 630, "Leave out sizes with more daemons than this.");
-DEFINE_uint64(seed, 1, "Seed of all that is random.");
+DEFINE_uint64(largest, 630, "Skip sizes with more daemons than this.");
+DEFINE_uint64(seed, 1, "Seed of the random generator.");
 
 namespace {
 
@@ -33,11 +34,11 @@
 using MeanAndMax = acc::accumulator_set<double, acc::stats<acc::tag::mean, acc::tag::max>>;
 
 constexpr std::size_t DatagramHeaderBytes = 28; ///< IPv4 and UDP.
-constexpr std::size_t FetchOverheadBytes = 500; ///< TCP and HTTP set-up of one fetch, both ways.
+constexpr std::size_t FetchOverheadBytes = 500; ///< TCP and HTTP overhead of one fetch, both ways.
 constexpr Duration Quiet = 30s;
-constexpr std::size_t Services = 2000; ///< Of the design size.
+constexpr std::size_t Services = 2000; ///< At the design size.
 constexpr std::size_t Targets = 4400;
-constexpr int Rounds = 20; ///< Of each time that is measured.
+constexpr int Rounds = 20; ///< Repetitions of each time measurement.
 constexpr std::size_t Changes = 8;
 constexpr Duration BetweenChanges = 10s;
 
@@ -45,7 +46,8 @@
 {
     std::size_t domains;
     std::size_t perDomain;
-    std::size_t watchers = ControlSettings{}.watchersPerDomain; ///< Daemons of a domain that call.
+    /// Daemons of a domain that call the platform.
+    std::size_t watchers = ControlSettings{}.watchersPerDomain;
 };
 
 [[nodiscard]] KeyRing keys()
@@ -53,7 +55,7 @@
     return KeyRing{std::vector<std::byte>(32, std::byte{1}), KeyEpoch{1}};
 }
 
-/// \brief Counts what each daemon sends and receives to and from other daemons, in bytes.
+/// \brief Counts the bytes that each daemon exchanges with other daemons.
 class ByteCounter
 {
 public:
@@ -75,7 +77,7 @@
 
     void reset() { std::fill(m_bytes.begin(), m_bytes.end(), 0); }
 
-    /// \return Bytes sent a second by each daemon. As many are received, on the mean.
+    /// \return Bytes sent per second by each daemon. The mean of bytes received is the same.
     [[nodiscard]] MeanAndMax sentPerSecond(Duration time) const
     {
         MeanAndMax result;
@@ -97,7 +99,7 @@
     std::vector<std::uint64_t> m_bytes;
 };
 
-/// \brief Counts events and the time that handling them took.
+/// \brief Counts the handled events and the time spent on them.
 class EventTimer
 {
 public:
@@ -122,7 +124,7 @@
     std::chrono::nanoseconds m_spent{0};
 };
 
-/// \brief Delays in milliseconds; prints the median and the largest.
+/// \brief Collects delays in milliseconds and prints their median and maximum.
 class Delays
 {
 public:
@@ -188,7 +190,7 @@
     ByteCounter bytes{net};
     EventTimer timer{net};
     net.startAll();
-    // News of the members that have just started is sent for a while.
+    // Membership updates about newly started members are still sent for some time.
     const Duration settling = 60s + size.perDomain * 1500ms;
     net.run(settling);
     const std::uint64_t settlingCalls = net.totalCalls();
@@ -323,7 +325,8 @@
 
 int main(int argc, char **argv)
 {
-    baobabtrail::readFlags(argc, argv, "bench-control [flags]: the control side in virtual time");
+    baobabtrail::readFlags(argc, argv,
+                           "bench-control [flags]: costs of the control side in virtual time");
     std::cout
         << "| domains × daemons, watchers | calls/s, quiet | calls per change | calls per start | "
            "bytes/s sent, mean / max | bytes sent per change, mean / max | "
--- a/bench/daemon.cpp
+++ b/bench/daemon.cpp
@@ -1,6 +1,9 @@
-// Datagrams that a whole daemon forwards, beside a bare relay of the same datagrams in the same
-// run, and the memory that open flows cost it. The daemon runs in this process, on a thread of its
-// own; rates are for each second of that thread's processor time.
+/// \file
+/// \brief Compares the forwarding rate of a complete daemon with that of a bare relay of the same
+/// datagrams in the same run, and measures the daemon's memory per open flow.
+///
+/// The daemon runs in this process on a thread of its own; rates are per second of that thread's
+/// processor time.
 
 #include "daemon/daemon.h"
 #include "command_line.h"
@@ -24,7 +27,7 @@
 DEFINE_uint32(rounds, 5, "rounds of each kind; the median is reported");
 DEFINE_uint32(datagrams, 200000, "datagrams of a round");
 DEFINE_uint32(payload_bytes, 200, "payload of a datagram");
-DEFINE_uint32(flows, 100000, "flows whose datagrams are forwarded, for the memory of each");
+DEFINE_uint32(flows, 100000, "flows whose datagrams are forwarded to measure the memory per flow");
 
 namespace {
 
@@ -33,7 +36,7 @@
 using boost::asio::ip::udp;
 
 constexpr Endpoint CallerAddress{0x7f000001, 40000};
-constexpr std::size_t Window = 64; // in flight at once, so that no buffer overflows
+constexpr std::size_t Window = 64; // datagrams in flight, so that no socket buffer overflows
 
 [[nodiscard]] std::uint16_t freePort()
 {
@@ -57,7 +60,7 @@
     return resident * 4;
 }
 
-/// \brief Where the thread of a relay puts its processor time, by its own clock.
+/// \brief Processor time of a relay's thread, read from the thread's CPU clock.
 class ThreadTime
 {
 public:
@@ -79,7 +82,7 @@
     std::atomic<bool> m_attached = false;
 };
 
-/// \brief Sends datagrams to a relay and counts what it passes on.
+/// \brief Sends datagrams to a relay and waits for those that it forwards.
 class Load
 {
 public:
@@ -90,7 +93,7 @@
 
     [[nodiscard]] Endpoint address() const { return loopback(m_socket.local_endpoint().port()); }
 
-    /// \return Datagrams for each second of the relay thread's processor time.
+    /// \return Datagrams per second of the relay thread's processor time.
     template <typename Make>
     [[nodiscard]] double run(const Endpoint &relay, const ThreadTime &time, Make make)
     {
@@ -111,7 +114,7 @@
     {
         pollfd wait{m_socket.native_handle(), POLLIN, 0};
         if (poll(&wait, 1, MaxWaitMs) <= 0)
-            throw std::runtime_error("a datagram was not passed on");
+            throw std::runtime_error("the relay did not forward a datagram");
         m_socket.receive(boost::asio::buffer(buffer));
     }
 
@@ -121,7 +124,7 @@
     udp::socket m_socket;
 };
 
-/// \brief Passes on what it gets, by the daemon's own socket code and with no look inside.
+/// \brief Forwards datagrams with the daemon's own socket code, without decoding them.
 class BareRelay
 {
 public:
@@ -158,7 +161,7 @@
     std::thread m_thread;
 };
 
-/// \brief A whole daemon on a thread of its own.
+/// \brief A complete daemon on a thread of its own.
 class RunningDaemon
 {
 public:
@@ -173,7 +176,7 @@
     }
     ~RunningDaemon()
     {
-        std::raise(SIGTERM); // the daemon waits for it, whichever thread gets it
+        std::raise(SIGTERM); // handled by the daemon, whichever thread receives it
         m_thread.join();
     }
     RunningDaemon(const RunningDaemon &) = delete;
@@ -204,7 +207,7 @@
     return result;
 }
 
-/// \brief Datagrams of a flow as the fabric hands them on, with a valid token for \a target.
+/// \brief Makes datagrams of flows as the fabric delivers them, with a valid token for \a target.
 class FlowDatagrams
 {
 public:
@@ -221,7 +224,8 @@
         token.target = TargetId{9};
         token.generation = Generation{1};
         token.address = m_target;
-        token.revision = Revision{1}; // newer than the daemon's, which then goes by the token
+        // Newer than the daemon's revision, so that the daemon relies on the token.
+        token.revision = Revision{1};
         token = m_keys.sealFlow(FlowId{flow}, token);
         const FlowData data{FlowId{flow}, token, std::string(FLAGS_payload_bytes, 'x')};
         return wire::proxyHeader(CallerAddress, {})
@@ -250,7 +254,8 @@
 int main(int argc, char **argv)
 {
     baobabtrail::readFlags(
-        argc, argv, "bench-daemon [flags]: a whole daemon in one process, beside a bare relay");
+        argc, argv,
+        "bench-daemon [flags]: compares a complete daemon in one process with a bare relay");
     Load load;
     const Settings chosen = settings();
     const FlowDatagrams datagrams{chosen.clusterSecret, load.address()};
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,6 +1,8 @@
-// Cost of the core's decisions: nanoseconds for each event through a TrafficNode, and for the check
-// of a token, the question for the next timer included. Best and median of
-// several rounds, so that the noise of a shared machine shows.
+/// \file
+/// \brief Cost of the core's decisions: nanoseconds per event that a TrafficNode handles, including
+/// the query for its next timer, and per token check.
+///
+/// Prints the best and the median of several rounds, which shows the noise of a shared machine.
 
 #include "command_line.h"
 #include "core/traffic/traffic_node.h"
@@ -24,7 +26,7 @@
 constexpr std::uint32_t TargetCount = 14;
 constexpr Generation TargetGeneration{5};
 
-/// One node that owns all fourteen targets of a service.
+/// \brief A single node that owns all fourteen targets of a service.
 class Bench
 {
 public:
@@ -76,7 +78,8 @@
         measure("OpenFlow + AcceptFlow", [this](std::uint64_t i) { (void)openFlow(1000 + i); });
     }
 
-    /// A batch of requests passes each of the three decisions together, so that each is measured.
+    /// \brief Passes requests through the three decisions batch by batch, so that each decision is
+    /// measured separately.
     void request()
     {
         constexpr std::uint32_t batch = TargetCount;
@@ -130,7 +133,7 @@
     {
         m_actions.clear();
         m_node.handle(std::move(event), m_now, m_actions);
-        (void)m_node.nextTimer(); // The daemon asks for it after each event.
+        (void)m_node.nextTimer(); // The daemon calls it after each event.
     }
 
     template <typename Action>
@@ -185,7 +188,7 @@
         handle(FromLink{sent.target, TargetGeneration, AttemptDone{attempt, {}, "done"}});
     }
 
-    /// \return Nanoseconds for each of \a count calls.
+    /// \return Nanoseconds per call, over \a count calls.
     template <typename Call>
     [[nodiscard]] static double timed(std::uint32_t count, const Call &call)
     {
--- a/bench/directory.cpp
+++ b/bench/directory.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The directory on many daemons, in virtual time: calls to the store, questions and bytes
+/// \brief Costs of the directory on many daemons, in virtual time: store calls, queries and bytes
 /// between daemons, time until a change is in force, and processor time, by number of daemons and
-/// by who watches the store.
+/// by which of them watch the store.
 
 #include "command_line.h"
 #include "support/configuration_text.h"
@@ -22,9 +22,9 @@
 using namespace baobabtrail;
 using namespace baobabtrail::test;
 
-/// Of each message on top of its body: an HTTP head, IP and TCP heads, and those of an
-/// acknowledgement of its own for every second one: the next question acknowledges the last answer.
-/// Worked out from the formats, not measured.
+/// \brief Overhead of each message in addition to its body, computed from the formats: an HTTP
+/// header, IP and TCP headers, and a separate acknowledgement for every second message, since the
+/// next query acknowledges the last answer.
 constexpr std::uint64_t MessageOverheadBytes = 64 + 52 + 52 / 2;
 constexpr Duration SettleTime = 20s;
 constexpr Duration Outage = 10s;
@@ -35,14 +35,14 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// \brief Rates of one daemon.
+/// \brief Rate per daemon: mean and maximum over all daemons.
 struct Rates
 {
     double mean = 0;
     double most = 0;
 };
 
-/// \brief One size: a cluster that settles, then a quiet time, changes and an outage.
+/// \brief Run of one cluster size: a settling time, a quiet period, changes and a store outage.
 class Run
 {
 public:
@@ -68,7 +68,7 @@
     }
 
 private:
-    /// \return Calls to the store a second; sets bytes, questions and processor time a daemon.
+    /// \return Store calls per second; sets bytes, queries and processor time per daemon.
     double quiet()
     {
         std::vector<std::uint64_t> bytes;
@@ -106,8 +106,8 @@
         return bytes + messages * MessageOverheadBytes;
     }
 
-    /// \return Milliseconds until a change is in force on half of the daemons, and on the last one;
-    /// the mean and the worst of several.
+    /// \return Milliseconds until a change is in force on half of the daemons (mean of several
+    /// changes) and on the last daemon (maximum of the same changes).
     std::pair<double, double> changes()
     {
         double half = 0;
@@ -137,7 +137,7 @@
     }
 
 public:
-    /// \brief Changes of a configuration of many routes, over small links.
+    /// \brief Measures changes of a configuration with many routes over links of low bandwidth.
     void printConfiguration()
     {
         m_cluster.store.put("routes/main", configurationText(m_version, FLAGS_routes));
@@ -184,7 +184,7 @@
         return all;
     }
 
-    /// \return Calls to a store that answers nobody for a while.
+    /// \return Number of calls to the store during an outage in which it answers no daemon.
     std::uint64_t outage()
     {
         const std::uint64_t before = m_cluster.store.calls();
@@ -195,7 +195,7 @@
 
     DirectCluster m_cluster;
     std::uint64_t m_version = 9;
-    std::uint64_t m_routes = 0; ///< Added so far.
+    std::uint64_t m_routes = 0; ///< Number of routes added so far.
     Rates m_bytes;
     Rates m_asked;
     double m_share = 0;
@@ -207,7 +207,7 @@
 {
     baobabtrail::readFlags(
         argc, argv,
-        "bench-directory [flags]: the directory with direct forwarding, in virtual time");
+        "bench-directory [flags]: costs of the directory with direct forwarding, in virtual time");
     std::cout << "way          daemons   calls/s  bytes/s  most     asked/s   core, %  force ms"
                  "    worst   outage\n";
     constexpr std::size_t roots = 3;
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// \brief Forwarding on one core: the daemon's data path beside a bare UDP relay, in one run on
-/// loopback, and the cost of a token check.
+/// \brief Compares forwarding by the daemon's data path with a bare UDP relay, on one core and over
+/// loopback in the same run, and measures the cost of a token check.
 ///
-/// Both relays read and send in batches of the same size and differ only in what they do with each
-/// datagram. Rates are datagrams for each second of processor time of the relay's thread, so that
-/// the threads that send don't count.
+/// All relays read and send in batches of the same size and differ only in what they do with each
+/// datagram. Rates are datagrams per second of processor time of the relay's thread, so that the
+/// sending threads don't count.
 
 #include "command_line.h"
 #include "core/keys.h"
@@ -30,9 +30,9 @@
 #include <unistd.h>
 
 DEFINE_uint64(datagrams, 300000, "datagrams for each measurement");
-DEFINE_uint32(rounds, 5, "measurements of each way; the median is printed");
+DEFINE_uint32(rounds, 5, "measurements of each relay; the median is printed");
 DEFINE_uint32(payload, 200, "bytes of flow data in a datagram");
-DEFINE_uint32(senders, 3, "threads that send");
+DEFINE_uint32(senders, 3, "sending threads");
 
 namespace {
 
@@ -82,7 +82,7 @@
     int m_handle;
 };
 
-/// \brief Datagrams of one system call.
+/// \brief Buffers for the datagrams of one system call.
 struct Batch
 {
     Batch()
@@ -101,13 +101,13 @@
     std::array<mmsghdr, BatchSize> headers{};
 };
 
-/// \brief What leaves for a datagram that came in.
+/// \brief The datagram to send in response to a received one.
 struct Outgoing
 {
     Endpoint to;
     std::string bytes;
 };
-/// Empty bytes where the datagram is dropped.
+/// \brief Processes a received datagram; returns empty bytes to drop it.
 using Work = std::function<Outgoing(std::string_view)>;
 
 [[nodiscard]] double threadSeconds()
@@ -134,7 +134,7 @@
     out.clear();
 }
 
-/// \return Datagrams for each second of this thread's processor time.
+/// \return Datagrams per second of this thread's processor time.
 [[nodiscard]] double relay(const Socket &socket, const Work &work)
 {
     Batch batch;
@@ -149,7 +149,7 @@
             Outgoing outgoing
                 = work({batch.bytes.get() + index * SlotBytes, batch.headers[index].msg_len});
             if (outgoing.bytes.empty())
-                throw std::runtime_error("a datagram was not taken");
+                throw std::runtime_error("a datagram was not received");
             out.push_back(std::move(outgoing));
         }
         passed += out.size();
@@ -159,7 +159,7 @@
     return static_cast<double>(passed) / (threadSeconds() - start);
 }
 
-/// \brief Sends the given datagrams over and over until told to stop.
+/// \brief Sends the given datagrams in a loop until stopped.
 class Load
 {
 public:
@@ -200,7 +200,7 @@
     return values[values.size() / 2];
 }
 
-/// \return Nanoseconds of processor time for one call of \a work.
+/// \return Nanoseconds of processor time per call of \a work.
 template <typename Function>
 [[nodiscard]] double nanosecondsOf(Function work)
 {
@@ -249,7 +249,7 @@
     std::vector<std::string> fromTargets;
 };
 
-/// \brief From a caller: decode, check the token, encode for the target.
+/// \brief Decodes a datagram from a caller, checks its token and encodes it for the target.
 [[nodiscard]] Outgoing toTarget(const KeyRing &keys, std::string_view bytes)
 {
     const auto proxied = wire::parseProxied(bytes);
@@ -262,7 +262,7 @@
                                proxied->source, token, {}, {}, FlowMessage{std::move(data)}})};
 }
 
-/// \brief From a target: decode, check the token, encode for the caller.
+/// \brief Decodes a datagram from a target, checks its token and encodes it for the caller.
 [[nodiscard]] Outgoing toCaller(const KeyRing &keys, std::string_view bytes)
 {
     const auto proxied = wire::parseProxied(bytes);
@@ -274,7 +274,7 @@
     return {datagram.caller, wire::encode(CallerMessage{std::move(datagram.body)})};
 }
 
-/// \brief A traffic node whose configuration holds the target of the flows.
+/// \brief A TrafficNode whose configuration contains the target of the flows.
 class Node
 {
 public:
@@ -329,7 +329,7 @@
     TrafficActions m_actions;
 };
 
-/// \brief One way to treat a datagram, and what was measured of it.
+/// \brief One of the compared relays, with its measured rates.
 struct RelayVariant
 {
     const char *name;
@@ -398,8 +398,8 @@
 
 int main(int argc, char **argv)
 {
-    baobabtrail::readFlags(argc, argv,
-                           "bench-relay [flags]: a bare relay, beside which daemons are measured");
+    baobabtrail::readFlags(
+        argc, argv, "bench-relay [flags]: compares the daemon's data path with a bare UDP relay");
     const Socket sink;
     const Traffic traffic{sink.address()};
     std::cout << FLAGS_payload << " bytes of payload, batches of " << BatchSize << ", median of "
