--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -8,9 +8,9 @@
 
 #include "command_line.h"
 #include "core/random.h"
+#include "soak/soak_checks.h"
 #include "soak/soak_logs.h"
 #include "soak/store_stalls.h"
-#include "soak/verdict.h"
 
 #include <boost/random/uniform_int_distribution.hpp>
 
@@ -34,9 +34,9 @@
 
 using namespace baobabtrail;
 using namespace baobabtrail::standins;
+using baobabtrail::soak::SoakChecks;
 using baobabtrail::soak::SoakLogs;
 using baobabtrail::soak::StoreStalls;
-using baobabtrail::soak::Verdict;
 using namespace std::chrono_literals;
 
 /// \brief Run of one seed: the system, its faults and the checks.
@@ -63,14 +63,14 @@
     std::vector<std::string> run()
     {
         begin();
-        strike();
-        heal();
-        m_verdict.judgeTraffic();
-        return m_verdict.findings();
+        injectFaults();
+        recover();
+        m_checks.checkTraffic();
+        return m_checks.findings();
     }
 
 private:
-    void strike()
+    void injectFaults()
     {
         std::optional<StoreStalls> stalls;
         if (FLAGS_store_stalls > 0)
@@ -81,7 +81,7 @@
             fault();
             largeChange();
             plannedOrLapsed();
-            askSome();
+            sendSomeRequests();
             m_world.run(std::chrono::milliseconds{draw(20, 700)});
         }
     }
@@ -95,7 +95,7 @@
         return static_cast<std::size_t>(draw(0, static_cast<int>(FLAGS_daemons) - 1));
     }
 
-    void say(const std::string &what)
+    void logFault(const std::string &what)
     {
         m_logs.fault(what);
         if (FLAGS_verbose)
@@ -109,13 +109,13 @@
         for (std::size_t index = 0; index < FLAGS_daemons; ++index)
             m_world.startDaemon(index);
         if (!m_world.runUntil([&] { return m_world.inRotation() == FLAGS_daemons; }, 20s))
-            m_verdict.expect(false, "not all daemons were ready within 20 s of the start");
+            m_checks.expect(false, "not all daemons were ready within 20 s of the start");
         m_world.coldFor = 3s;
         for (const auto &caller : m_world.callers())
             caller->feed(World::routeOf(0), "lending", 50ms);
     }
 
-    void askSome()
+    void sendSomeRequests()
     {
         for (const auto &caller : m_world.callers()) {
             if (draw(0, 3) == 0)
@@ -134,31 +134,31 @@
             return pause(anyDaemon());
         case 3:
         case 4:
-            return harmStoreOf(anyDaemon());
+            return disturbStoreOf(anyDaemon());
         case 5:
             return switchStore();
         case 6:
-            say("compact");
+            logFault("compact");
             return m_world.compact();
         case 7:
             return drainOne();
         case 8:
             return crashOne();
         case 9:
-            if (storeAway())
+            if (storeUnavailable())
                 return;
-            say("target added");
+            logFault("target added");
             m_live.push_back(m_world.addTarget(draw(0, 2) == 0 ? "catalogue" : "lending"));
             return;
         case 10: {
             const int route = draw(2, 5);
-            if (storeAway())
+            if (storeUnavailable())
                 return;
-            say("route " + std::to_string(route) + " changes");
+            logFault("route " + std::to_string(route) + " changes");
             return m_world.setRoute(route, draw(0, 1) == 0);
         }
         case 11:
-            return harmPeersOf(anyDaemon());
+            return disturbPeersOf(anyDaemon());
         default:
             return restartMissing();
         }
@@ -176,10 +176,10 @@
         const int count = Draw{100, 3000}(m_largeRandom);
         const auto thin
             = static_cast<std::size_t>(Draw{0, static_cast<int>(FLAGS_daemons) - 1}(m_largeRandom));
-        if (!due || storeAway())
+        if (!due || storeUnavailable())
             return;
         m_grown = !m_grown;
-        say(std::to_string(count) + (m_grown ? " routes more" : " routes less, or all"));
+        logFault(std::to_string(count) + (m_grown ? " routes more" : " routes less, or all"));
         m_world.setRoutes(firstQuietRoute, m_grown ? count : 3000, m_grown);
         m_world.peersOf(thin).setBytesPerSecond(thinLink);
         later(5s, [this, thin] { m_world.peersOf(thin).setBytesPerSecond(0); });
@@ -193,17 +193,17 @@
         using Draw = boost::random::uniform_int_distribution<int>;
         const int drawn = Draw{0, 11}(m_plannedRandom);
         const auto domain = static_cast<std::size_t>(Draw{0, 2}(m_plannedRandom));
-        if (storeAway())
+        if (storeUnavailable())
             return;
         if (drawn == 0)
             lapseSome();
         if (drawn > 2)
             return;
         if (m_world.evacuated(domain)) {
-            say("domain " + std::to_string(domain) + " restored");
+            logFault("domain " + std::to_string(domain) + " restored");
             m_world.restore(domain);
         } else if (drawn == 1) {
-            say("domain " + std::to_string(domain) + " evacuated");
+            logFault("domain " + std::to_string(domain) + " evacuated");
             m_world.evacuate(domain, 15s);
         }
     }
@@ -211,7 +211,7 @@
     void lapseSome()
     {
         using Draw = boost::random::uniform_int_distribution<int>;
-        say("registrations lapse while the store is silent for all daemons");
+        logFault("registrations lapse while the store is silent for all daemons");
         for (std::size_t index = 0; index < FLAGS_daemons; ++index)
             m_world.storeOf(index).set(TcpProxy::Mode::Silent);
         for (const std::size_t target : m_live) {
@@ -230,7 +230,7 @@
     /// \brief Re-registers a live target; during a store outage, within two seconds of its end.
     void reregister(std::size_t target)
     {
-        if (m_storeIsWell)
+        if (m_storeHealthy)
             m_world.reregister(target);
         else
             m_waitForStore.push_back(target);
@@ -238,7 +238,7 @@
 
     void kill(std::size_t index)
     {
-        say("kill " + std::to_string(index));
+        logFault("kill " + std::to_string(index));
         m_world.signal(index, SIGKILL);
         m_dead.insert(index);
     }
@@ -247,16 +247,16 @@
     {
         if (!m_world.running(index) || m_paused.contains(index))
             return;
-        say("stop " + std::to_string(index));
+        logFault("stop " + std::to_string(index));
         const int status = m_world.stopDaemon(index);
-        m_verdict.expect(status == 0, "daemon " + std::to_string(index) + " ended with status "
-                                          + std::to_string(status) + " after SIGTERM");
+        m_checks.expect(status == 0, "daemon " + std::to_string(index) + " ended with status "
+                                         + std::to_string(status) + " after SIGTERM");
         m_dead.insert(index);
     }
 
     void pause(std::size_t index)
     {
-        say("pause " + std::to_string(index));
+        logFault("pause " + std::to_string(index));
         m_world.signal(index, SIGSTOP);
         m_paused.insert(index);
         later(std::chrono::milliseconds{draw(200, 5000)}, [this, index] {
@@ -267,24 +267,24 @@
 
     /// \brief Disturbs the connections through a proxy for a random time.
     /// \param name The proxy's name in the fault log.
-    void harm(TcpProxy &proxy, const std::string &name)
+    void disturb(TcpProxy &proxy, const std::string &name)
     {
         using Mode = TcpProxy::Mode;
         constexpr std::array modes{Mode::Delayed, Mode::Refusing, Mode::Silent, Mode::Unanswered};
         const auto mode = modes[static_cast<std::size_t>(draw(0, 3))];
-        say(name + " harmed, mode " + std::to_string(static_cast<int>(mode)));
+        logFault(name + " harmed, mode " + std::to_string(static_cast<int>(mode)));
         proxy.set(mode);
         later(std::chrono::milliseconds{draw(500, 6000)}, [&proxy] { proxy.set(Mode::Pass); });
     }
 
-    void harmStoreOf(std::size_t index)
+    void disturbStoreOf(std::size_t index)
     {
-        harm(m_world.storeOf(index), "store of " + std::to_string(index));
+        disturb(m_world.storeOf(index), "store of " + std::to_string(index));
     }
 
-    void harmPeersOf(std::size_t index)
+    void disturbPeersOf(std::size_t index)
     {
-        harm(m_world.peersOf(index), "other daemons' way to " + std::to_string(index));
+        disturb(m_world.peersOf(index), "other daemons' way to " + std::to_string(index));
     }
 
     void switchStore()
@@ -293,20 +293,20 @@
                                       R"({"silent": true})", R"({"slow": 200})",
                                       R"({"silentWatch": true})"};
         const char *chosen = switches[static_cast<std::size_t>(draw(0, 4))];
-        say(std::string{"store "} + chosen);
+        logFault(std::string{"store "} + chosen);
         m_world.setSwitches(chosen);
         // The operators and targets in this process write to the store directly, not through a
         // proxy, so they make no changes until it is healthy.
-        m_storeHarmed = World::Clock::now() + 6s;
-        m_storeIsWell = false;
-        later(std::chrono::milliseconds{draw(300, 4000)}, [this] { healStore(); });
+        m_storeUnavailableUntil = World::Clock::now() + 6s;
+        m_storeHealthy = false;
+        later(std::chrono::milliseconds{draw(300, 4000)}, [this] { restoreStore(); });
     }
 
-    void healStore()
+    void restoreStore()
     {
         m_world.setSwitches(
             R"({"down": false, "busy": false, "silent": false, "slow": 0, "silentWatch": false})");
-        m_storeIsWell = true;
+        m_storeHealthy = true;
         using Draw = boost::random::uniform_int_distribution<int>;
         for (const std::size_t target : std::exchange(m_waitForStore, {}))
             later(std::chrono::milliseconds{Draw{0, 2000}(m_returnRandom)},
@@ -330,35 +330,38 @@
     // faults and the recovery from them.
     void drainOne()
     {
-        if (storeAway())
+        if (storeUnavailable())
             return;
         if (const auto target = anyTarget()) {
-            say("drain " + std::to_string(*target));
+            logFault("drain " + std::to_string(*target));
             m_world.drain(*target, 15s);
         }
     }
 
     void crashOne()
     {
-        if (storeAway())
+        if (storeUnavailable())
             return;
         const auto target = anyTarget();
         if (!target)
             return;
-        say("crash " + std::to_string(*target));
+        logFault("crash " + std::to_string(*target));
         const std::uint64_t id = m_world.targets()[*target]->id();
         const Endpoint address = m_world.crash(*target);
         if (draw(0, 1) == 0)
             m_live.push_back(m_world.addTarget("catalogue", address));
         later(std::chrono::milliseconds{draw(500, 4000)}, [this, id] {
-            if (storeAway())
+            if (storeUnavailable())
                 m_unregister.push_back(id);
             else
                 m_world.unregister(id);
         });
     }
 
-    [[nodiscard]] bool storeAway() const { return World::Clock::now() < m_storeHarmed; }
+    [[nodiscard]] bool storeUnavailable() const
+    {
+        return World::Clock::now() < m_storeUnavailableUntil;
+    }
 
     void restartMissing()
     {
@@ -378,10 +381,10 @@
         });
     }
 
-    void heal()
+    void recover()
     {
         m_world.run(6s); // Long enough for all timed faults to end.
-        healStore();
+        restoreStore();
         for (const std::uint64_t id : m_unregister)
             m_world.unregister(id);
         for (const std::size_t target : m_live)
@@ -398,10 +401,10 @@
                 m_world.startDaemon(index);
         }
         if (!m_world.runUntil([&] { return m_world.inRotation() == FLAGS_daemons; }, 12s))
-            m_verdict.expect(false, "not all daemons were ready within 12 s of the last fault");
+            m_checks.expect(false, "not all daemons were ready within 12 s of the last fault");
         m_world.run(4s);
         for (std::size_t index = 0; index < FLAGS_daemons; ++index)
-            m_verdict.judgeConfiguration(index);
+            m_checks.checkConfiguration(index);
     }
 
     SoakLogs m_logs;
@@ -410,13 +413,13 @@
     Random m_plannedRandom;
     Random m_returnRandom;
     World m_world;
-    Verdict m_verdict{m_world, m_logs};
+    SoakChecks m_checks{m_world, m_logs};
     std::vector<std::size_t> m_live; ///< Targets that are neither draining nor crashed.
     std::set<std::size_t> m_dead;    ///< Daemons that ended and are to be restarted.
     std::set<std::size_t> m_paused;
     std::vector<std::uint64_t> m_unregister; ///< Crashed targets that are still in the store.
-    World::Clock::time_point m_storeHarmed{};
-    bool m_storeIsWell = true;
+    World::Clock::time_point m_storeUnavailableUntil{};
+    bool m_storeHealthy = true;
     std::vector<std::size_t> m_waitForStore; ///< Targets to re-register after the store outage.
     bool m_grown = false; ///< The configuration holds the many additional, unused routes.
 };
--- a/bench/soak/verdict.h
+++ b/bench/soak/soak_checks.h
@@ -18,11 +18,11 @@
 using standins::World;
 
 /// \brief Checks of one seed's outcome, by what callers, targets and the daemons' metrics report.
-class Verdict
+class SoakChecks
 {
 public:
     /// \param world,logs Must outlive this object.
-    Verdict(World &world, const SoakLogs &logs)
+    SoakChecks(World &world, const SoakLogs &logs)
         : m_world(world)
         , m_logs(logs)
     {
@@ -37,7 +37,7 @@
     }
 
     /// \brief Checks that the daemon has the newest configuration in force and reports its version.
-    void judgeConfiguration(std::size_t index)
+    void checkConfiguration(std::size_t index)
     {
         const std::string daemon = "daemon " + std::to_string(index);
         const std::string page = metricsOf(index);
@@ -54,7 +54,7 @@
 
     /// \brief Sends a last round of requests from all callers, then checks everything that callers
     /// and targets have seen.
-    void judgeTraffic()
+    void checkTraffic()
     {
         const CallerLog before = m_world.callerLog;
         const std::vector<std::size_t> feedsBefore = feedAnswers();
@@ -63,9 +63,9 @@
                 caller->ask(World::routeOf(0), "lending");
             m_world.run(std::chrono::milliseconds{500});
         }
-        judgeLastAnswers(before, feedsBefore);
-        judgeCallers();
-        judgeTargets();
+        checkLastAnswers(before, feedsBefore);
+        checkCallers();
+        checkTargets();
     }
 
 private:
@@ -103,7 +103,7 @@
         return answers;
     }
 
-    void judgeLastAnswers(const CallerLog &before, const std::vector<std::size_t> &feedsBefore)
+    void checkLastAnswers(const CallerLog &before, const std::vector<std::size_t> &feedsBefore)
     {
         const CallerLog &after = m_world.callerLog;
         const std::size_t asked = after.asked - before.asked;
@@ -117,7 +117,7 @@
         }
     }
 
-    void judgeCallers()
+    void checkCallers()
     {
         const CallerLog &callers = m_world.callerLog;
         expect(callers.broken == 0, std::to_string(callers.broken) + " open flows broken");
@@ -129,7 +129,7 @@
                   << callers.ended << " broken " << callers.broken << '\n';
     }
 
-    void judgeTargets()
+    void checkTargets()
     {
         const TargetLog &targets = m_world.targetLog;
         expect(targets.wrongService == 0,
