--- a/bench/policy/scenario.h
+++ b/bench/policy/scenario.h
@@ -14,7 +14,7 @@
     SlowTarget,  ///< One target takes five times as long.
     ColdTarget,  ///< One target is added; it starts four times slower and is normal after ten
                  ///< seconds.
-    LyingEmpty,  ///< One target always reports no running requests and no open flows.
+    LyingEmpty,  ///< One target always reports an empty load: no requests and no flows.
     LyingFull,   ///< One target always reports that it is full.
     LateReports, ///< All load reports are delayed by one second.
     Drain,       ///< One target is drained.
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -138,7 +138,7 @@
         case 5:
             return switchStore();
         case 6:
-            logFault("compact");
+            logFault("store history compacted");
             return m_world.compact();
         case 7:
             return drainOne();
@@ -211,7 +211,7 @@
     void lapseSome()
     {
         using Draw = boost::random::uniform_int_distribution<int>;
-        logFault("registrations lapse while the store is silent for all daemons");
+        logFault("registrations lapse while the store answers no daemon");
         for (std::size_t index = 0; index < FLAGS_daemons; ++index)
             m_world.storeOf(index).set(TcpProxy::Mode::Silent);
         for (const std::size_t target : m_live) {
@@ -272,19 +272,19 @@
         using Mode = TcpProxy::Mode;
         constexpr std::array modes{Mode::Delayed, Mode::Refusing, Mode::Silent, Mode::Unanswered};
         const auto mode = modes[static_cast<std::size_t>(draw(0, 3))];
-        logFault(name + " harmed, mode " + std::to_string(static_cast<int>(mode)));
+        logFault(name + " disturbed, proxy mode " + std::to_string(static_cast<int>(mode)));
         proxy.set(mode);
         later(std::chrono::milliseconds{draw(500, 6000)}, [&proxy] { proxy.set(Mode::Pass); });
     }
 
     void disturbStoreOf(std::size_t index)
     {
-        disturb(m_world.storeOf(index), "store of " + std::to_string(index));
+        disturb(m_world.storeOf(index), "store connections of " + std::to_string(index));
     }
 
     void disturbPeersOf(std::size_t index)
     {
-        disturb(m_world.peersOf(index), "other daemons' way to " + std::to_string(index));
+        disturb(m_world.peersOf(index), "peer connections to " + std::to_string(index));
     }
 
     void switchStore()
--- a/bench/whole/run.h
+++ b/bench/whole/run.h
@@ -131,7 +131,7 @@
         const auto began = std::chrono::steady_clock::now();
         if (m_system.control(statement, id) != 0
             || m_system.control("wait for change " + id + " timeout 10s") != 0)
-            throw std::runtime_error("change " + id + " did not take effect");
+            throw std::runtime_error("change " + id + " did not come into force");
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
         m_report.timesToForce.push_back(took.count());
     }
