--- a/tests/config/record_codec_test.cpp
+++ b/tests/config/record_codec_test.cpp
@@ -2,7 +2,7 @@
 
 #include "core/config/snapshot.h"
 #include "support/change_builder.h"
-#include "support/seal_anew.h"
+#include "support/recompute_checksum.h"
 
 #include <boost/algorithm/string/replace.hpp>
 
@@ -82,10 +82,11 @@
     cr_assert(findingOf("[]") == "config/log/7: is not an object");
     const std::string unknown = boost::replace_first_copy(sealed, "drain-target", "train-target");
     cr_assert(findingOf(unknown) == "config/log/7: checksum does not match");
-    cr_assert(findingOf(sealAnew(unknown))
+    cr_assert(findingOf(recomputeChecksum(unknown))
               == "config/log/7: command 4: unknown kind \"train-target\"");
     const std::string nameless = boost::replace_first_copy(sealed, "key-hash", "kay-hash");
-    cr_assert(findingOf(sealAnew(nameless)) == "config/log/7: command 1: lacks \"key-hash\"");
+    cr_assert(findingOf(recomputeChecksum(nameless))
+              == "config/log/7: command 1: lacks \"key-hash\"");
 }
 
 Test(snapshot, roundTripsThroughShards)
--- a/tests/control/distribute_test.cpp
+++ b/tests/control/distribute_test.cpp
@@ -1,6 +1,6 @@
 #include "support/cluster.h"
 
-#include "support/expect_sound.h" // With Criterion, which has to come after Boost.
+#include "support/expect_no_violations.h" // With Criterion, which has to come after Boost.
 
 using namespace baobabtrail;
 using namespace baobabtrail::test;
@@ -72,7 +72,7 @@
             net.run(10s);
             cr_expect(net.everywhere(revision) && !revision.isNull(), "%s", cell.name.c_str());
             cr_expect(!net.noticed("serving on revision"), "%s", cell.name.c_str());
-            expectSound(net, cell.name);
+            expectNoViolations(net, cell.name);
         }
     }
 }
@@ -133,7 +133,7 @@
                 const Revision next = net.accept(2, weightChange("w2", 60));
                 net.run(11s);
                 cr_expect(net.everywhere(next), "%s: next change", cell.c_str());
-                expectSound(net, cell);
+                expectNoViolations(net, cell);
             }
         }
     }
@@ -225,7 +225,7 @@
             cr_assert(!revision.isNull());
             cr_expect(net.runUntil([&] { return net.everywhere(revision); }, 10s), "%zu", domain);
             net.run(10s);
-            expectSound(net, "cut from the platform");
+            expectNoViolations(net, "cut from the platform");
             cr_expect(net.node(domain * 3).status(net.now()).configAge < 30s);
         }
     }
@@ -256,7 +256,7 @@
     cr_assert(net.node(0).status(net.now()).configAge < 10s);
     cr_assert(net.noticed("known to be the newest again"));
     cr_assert(net.node(0).view()->members.size() == 3);
-    expectSound(net, "cut from all");
+    expectNoViolations(net, "cut from all");
 }
 
 // The platform is down for minutes while every VM of a failure domain is replaced: one by one, all
@@ -295,7 +295,7 @@
         cr_assert(revision == Revision{3});
         net.run(12s);
         cr_assert(net.everywhere(revision));
-        expectSound(net, "replaced");
+        expectNoViolations(net, "replaced");
     }
 }
 
@@ -326,5 +326,5 @@
     for (const char *domain : Cluster::Domains)
         net.cutPlatform(domain);
     cr_assert(net.runUntil([&] { return net.everywhere(Revision{2}); }, 30s));
-    expectSound(net, "new addresses");
+    expectNoViolations(net, "new addresses");
 }
--- a/tests/control/watcher_test.cpp
+++ b/tests/control/watcher_test.cpp
@@ -1,9 +1,9 @@
 #include "core/config/log_keys.h"
 #include "core/membership/watchers.h"
 #include "support/cluster.h"
-#include "support/seal_anew.h"
+#include "support/recompute_checksum.h"
 
-#include "support/expect_sound.h" // With Criterion, which has to come after Boost.
+#include "support/expect_no_violations.h" // With Criterion, which has to come after Boost.
 
 using namespace baobabtrail;
 using namespace baobabtrail::test;
@@ -59,7 +59,7 @@
     lists = 0;
     net.run(60s);
     cr_assert(lists < 45, "%zu lists in a minute, two watchers make 28", lists);
-    expectSound(net, "watchers cut off");
+    expectNoViolations(net, "watchers cut off");
 }
 
 // Every watch stalls once. The periodic list finds the first change seconds late; before the second
@@ -130,7 +130,7 @@
         std::string bad = good;
         const std::size_t at = bad.find("set-weight");
         bad.replace(at, 10, unknownKind ? "new-weight" : "set\xffweight");
-        object.value = unknownKind ? sealAnew(bad) : bad;
+        object.value = unknownKind ? recomputeChecksum(bad) : bad;
         for (std::size_t node = 0; node < 9; ++node)
             net.kill(node);
         net.startAll();
@@ -146,7 +146,7 @@
         cr_assert(net.get<ProposalUnknown>(id) != nullptr);
         net.platform.objects.at(logKey(revision)).value = good;
         cr_assert(net.runUntil([&] { return net.everywhere(revision); }, 10s));
-        expectSound(net, "bad record");
+        expectNoViolations(net, "bad record");
     }
 }
 
@@ -170,7 +170,7 @@
                 net.run(3s);
             }
             counts.push_back(net.totalCalls() - before);
-            expectSound(net, "calls");
+            expectNoViolations(net, "calls");
         }
         // While it is down, up to two daemons besides the watchers list in each period; in a domain
         // of three only one daemon can.
--- a/tests/daemon/quiet_wait_test.cpp
+++ b/tests/daemon/quiet_wait_test.cpp
@@ -1,5 +1,5 @@
 #include "daemon/quiet_wait.h"
-#include "support/stand_still.h"
+#include "support/stall_process.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <criterion/criterion.h>
@@ -39,7 +39,7 @@
         receiver.receive(boost::asio::buffer(bytes));
         ++read;
     });
-    standStill(2 * Wait);
+    stallProcess(2 * Wait);
     context.run_for(1s);
     cr_assert(done);
     cr_assert_eq(read, 1U);
--- a/tests/daemon/restartable_timer_test.cpp
+++ b/tests/daemon/restartable_timer_test.cpp
@@ -1,5 +1,5 @@
 #include "net/restartable_timer.h"
-#include "support/stand_still.h"
+#include "support/stall_process.h"
 
 #include <criterion/criterion.h>
 
@@ -22,7 +22,7 @@
     int newest = 0;
     first.start(Wait, [&] { second.start(Wait, [&] { ++newest; }); });
     second.start(Wait, [&] { ++replaced; });
-    standStill(2 * Wait);
+    stallProcess(2 * Wait);
     context.run();
     cr_assert_eq(replaced, 0);
     cr_assert_eq(newest, 1);
@@ -37,7 +37,7 @@
     int calls = 0;
     first.start(Wait, [&] { second.cancel(); });
     second.start(Wait, [&] { ++calls; });
-    standStill(2 * Wait);
+    stallProcess(2 * Wait);
     context.run();
     cr_assert_eq(calls, 0);
 }
--- a/tests/direct-system-known/serves_test.cpp
+++ b/tests/direct-system-known/serves_test.cpp
@@ -7,7 +7,7 @@
 {
     DirectSystem system;
     cr_assert_eq(system.askAll(), 2 * Callers);
-    system.expectSound();
+    system.expectNoViolations();
     // A hash of free ports selects the daemon of a flow, so a single daemon may have received none.
     std::string pages;
     for (std::size_t index = 0; index < Daemons; ++index) {
--- a/tests/direct-system/direct_system_test.cpp
+++ b/tests/direct-system/direct_system_test.cpp
@@ -46,7 +46,7 @@
     cr_assert(world.runUntil([&] { return world.inRotation() == Daemons; }, 5s));
     cr_assert_eq(system.askAll(), 2 * Callers);
     cr_assert_eq(world.callerLog.ended, 0);
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against new flows that reach a draining target: three seconds after the start of the drain
@@ -58,7 +58,7 @@
     system.world.run(1200ms);
     for (int round = 0; round < 5; ++round)
         (void)system.askAll();
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against daemons that can't start while the store is down: daemons are replaced one after
@@ -75,7 +75,7 @@
     }
     cr_assert(world.runUntil([&] { return world.inRotation() == Daemons; }, 5s));
     cr_assert_eq(system.askAll(), 2 * Callers);
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against route changes that are missed because the store compacts its history between them.
@@ -126,7 +126,7 @@
         cr_assert_leq(bytes, maxBytes, "daemon %zu: %.0f bytes", index, bytes);
     }
     cr_assert_eq(system.askAll(), 2 * Callers);
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against daemons that apply a changed settings file only on a signal. The store moves to
@@ -147,7 +147,7 @@
         return world.callerLog.singleAnswered > answered;
     };
     cr_assert(world.runUntil(served, 8s));
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against a baobabctl top that lacks the view, the counters or the targets of a daemon with
@@ -182,7 +182,7 @@
     cr_assert_eq(world.callerLog.singleAnswered, LogFillingRequests);
     cr_assert_eq(world.callerLog.timedOut, 0);
     cr_assert_eq(system.askAll(), 2 * Callers);
-    system.expectSound();
+    system.expectNoViolations();
 }
 
 // Guards against a daemon that never exits, because the reader of its log has stopped.
@@ -219,5 +219,5 @@
     world.unregister(id);
     world.run(2s);
     cr_assert_eq(system.askAll(), 2 * Callers);
-    system.expectSound();
+    system.expectNoViolations();
 }
--- a/tests/direct/evacuation_test.cpp
+++ b/tests/direct/evacuation_test.cpp
@@ -37,7 +37,7 @@
     fleet.now += 200ms;
     for (std::uint16_t waiting = 0; waiting < caller; ++waiting)
         cr_assert(fleet.open(waiting, 1).target == TargetId{3});
-    cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
+    cr_assert(fleet.stateChanges.back() == DirectTargetState::Suspect);
     cr_assert(fleet.open(++caller).target == TargetId{3});
     fleet.router().removeTarget(TargetId{3}, true, fleet.now);
     cr_assert(fleet.open(++caller).target == TargetId{3});
--- a/tests/direct/router_faults_test.cpp
+++ b/tests/direct/router_faults_test.cpp
@@ -42,7 +42,7 @@
     fleet.now += 200ms;
     for (const std::uint16_t waiting : atSilent)
         (void)fleet.open(waiting, 1);
-    cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
+    cr_assert(fleet.stateChanges.back() == DirectTargetState::Suspect);
     fleet.now += 400ms;
     cr_assert(fleet.open(atSilent.front(), 2).target == TargetId{2});
     for (std::uint16_t next = 100; next < 130; ++next)
@@ -61,7 +61,7 @@
     fleet.now += 200ms;
     fleet.add(2);
     (void)fleet.open(1, 1);
-    cr_assert(fleet.beliefs.back() == DirectTargetState::Suspect);
+    cr_assert(fleet.stateChanges.back() == DirectTargetState::Suspect);
     cr_assert(fleet.open(2).target == TargetId{2});
     fleet.now += settings.trialEvery;
     std::uint16_t caller = 10;
@@ -70,7 +70,7 @@
         trial = fleet.open(++caller);
     cr_assert(trial.target == TargetId{1});
     (void)fleet.route(DirectFleet::data(caller, trial.label, 0, 0, 1));
-    cr_assert(fleet.beliefs.back() == DirectTargetState::Healthy);
+    cr_assert(fleet.stateChanges.back() == DirectTargetState::Healthy);
 }
 
 // Guards against callers that wait until their timeout. A target crashes, and its registration
--- a/tests/directory/cluster_outage_test.cpp
+++ b/tests/directory/cluster_outage_test.cpp
@@ -14,7 +14,7 @@
         DirectCluster cluster{8, 3, 3};
         addTarget(cluster, 1);
         cluster.time.run(10s + phase);
-        cluster.store.deafen();
+        cluster.store.muteWatches();
         cluster.time.run(300ms);
         addTarget(cluster, 1, "x draining");
         cluster.time.run(700ms);
--- a/tests/directory/cluster_random_test.cpp
+++ b/tests/directory/cluster_random_test.cpp
@@ -46,7 +46,7 @@
                 cluster.store.silent = !cluster.store.silent;
                 break;
             case 4:
-                cluster.store.deafen();
+                cluster.store.muteWatches();
                 break;
             case 5:
                 cluster.store.compact();
--- a/tests/directory/cluster_test.cpp
+++ b/tests/directory/cluster_test.cpp
@@ -51,7 +51,7 @@
 Test(directory, anEntryThatCannotBeReadNamesNoTarget)
 {
     std::size_t said = 0;
-    const auto onPorts = [&said](std::size_t, DirectCallbacks &ports) {
+    const auto customizeCallbacks = [&said](std::size_t, DirectCallbacks &ports) {
         ports.onNotice = [&said](const NodeNotice &notice) {
             said += std::holds_alternative<ObjectRefused>(notice);
         };
@@ -63,7 +63,7 @@
             return whole(object);
         };
     };
-    DirectCluster cluster{3, 3, 9, onPorts};
+    DirectCluster cluster{3, 3, 9, customizeCallbacks};
     addTarget(cluster, 1);
     addTarget(cluster, 2);
     cr_assert(cluster.time.runUntil([&] { return allReady(cluster); }, 2s));
--- a/tests/directory/evacuation_test.cpp
+++ b/tests/directory/evacuation_test.cpp
@@ -50,7 +50,7 @@
     for (Duration phase = 0ms; phase < 3s; phase += 100ms) {
         DirectCluster cluster{8, 3, 3};
         cluster.time.run(10s + phase);
-        cluster.store.deafen();
+        cluster.store.muteWatches();
         cluster.time.run(300ms);
         evacuate(cluster, "d0");
         cluster.time.run(700ms);
@@ -143,7 +143,7 @@
                 cluster.store.silent = !cluster.store.silent;
                 break;
             case 4:
-                cluster.store.deafen();
+                cluster.store.muteWatches();
                 break;
             case 5:
                 cluster.store.compact();
--- a/tests/flows/flow_test.cpp
+++ b/tests/flows/flow_test.cpp
@@ -1,4 +1,4 @@
-#include "support/node_rig.h"
+#include "support/traffic_node_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -9,14 +9,14 @@
 
 constexpr FlowId Flow{42};
 
-[[nodiscard]] std::vector<SendToTarget> open(NodeRig &rig, FlowId flow = Flow,
+[[nodiscard]] std::vector<SendToTarget> open(TrafficNodeFixture &rig, FlowId flow = Flow,
                                              std::uint32_t attempt = 0)
 {
     rig.fromCaller(FlowMessage{OpenFlow{flow, rig.service, {}, attempt}});
     return rig.all<SendToTarget>();
 }
 
-void answer(NodeRig &rig, const SendToTarget &sent, FlowMessage body)
+void answer(TrafficNodeFixture &rig, const SendToTarget &sent, FlowMessage body)
 {
     const TargetDatagram &datagram = sent.datagram;
     rig.handle(FromTarget{
@@ -25,14 +25,14 @@
 }
 
 /// \return Token of a flow that was opened and accepted.
-[[nodiscard]] FlowToken accepted(NodeRig &rig, FlowId flow = Flow)
+[[nodiscard]] FlowToken accepted(TrafficNodeFixture &rig, FlowId flow = Flow)
 {
     const SendToTarget sent = open(rig, flow).at(0);
     answer(rig, sent, AcceptFlow{flow, sent.datagram.token});
     return rig.toCaller<AcceptFlow>().at(0).token;
 }
 
-[[nodiscard]] std::vector<SendToTarget> sendData(NodeRig &rig, const FlowToken &token,
+[[nodiscard]] std::vector<SendToTarget> sendData(TrafficNodeFixture &rig, const FlowToken &token,
                                                  FlowId flow = Flow)
 {
     rig.fromCaller(FlowMessage{FlowData{flow, token, "count"}});
@@ -45,12 +45,12 @@
 // token, so that the target has one flow. A daemon that lost the open still forwards the accept.
 Test(flow, isPlacedOnceForAllCopies)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const SendToTarget first = open(rig).at(0);
     rig.publish();
     const SendToTarget second = open(rig).at(0);
     cr_assert(first.datagram.token == second.datagram.token);
-    cr_assert(first.datagram.replyTo == NodeRig::identity().address);
+    cr_assert(first.datagram.replyTo == TrafficNodeFixture::identity().address);
     cr_assert_eq(rig.node.counts().pendingOpens, 1);
     for (int copy = 0; copy < 2; ++copy) {
         answer(rig, first, AcceptFlow{Flow, first.datagram.token});
@@ -58,7 +58,7 @@
     }
     cr_assert_eq(rig.node.counts().pendingOpens, 0);
 
-    NodeRig restarted;
+    TrafficNodeFixture restarted;
     answer(restarted, first, AcceptFlow{Flow, first.datagram.token});
     cr_assert_eq(restarted.toCaller<AcceptFlow>().size(), 1);
 }
@@ -67,23 +67,21 @@
 // The answer carries the owner's load, so that no extra messages are needed for it.
 Test(flow, isAnsweredThroughItsEntry)
 {
-    NodeRig rig;
-    Handoff ask{NodeRig::Caller,
-                NodeRig::OtherPeer,
-                rig.target().id,
-                0,
-                {},
-                OpenFlow{Flow, rig.service, {}, 0}};
-    rig.handle(FromPeer{NodeRig::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}});
+    TrafficNodeFixture rig;
+    Handoff ask{
+        TrafficNodeFixture::Caller,        TrafficNodeFixture::OtherPeer, rig.target().id, 0, {},
+        OpenFlow{Flow, rig.service, {}, 0}};
+    rig.handle(FromPeer{TrafficNodeFixture::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}});
     const SendToTarget sent = rig.all<SendToTarget>().at(0);
     answer(rig, sent, AcceptFlow{Flow, sent.datagram.token});
     const SendToPeer reply = rig.all<SendToPeer>().at(0);
-    cr_assert(reply.peer == NodeRig::OtherPeer);
+    cr_assert(reply.peer == TrafficNodeFixture::OtherPeer);
     const auto &handoffReply = std::get<HandoffReply>(reply.message);
     cr_assert(handoffReply.hints.at(0).target == rig.target().id);
 
-    NodeRig entry;
-    entry.handle(FromPeer{NodeRig::OtherPeer, {DaemonId{100}, Incarnation{1}, handoffReply}});
+    TrafficNodeFixture entry;
+    entry.handle(
+        FromPeer{TrafficNodeFixture::OtherPeer, {DaemonId{100}, Incarnation{1}, handoffReply}});
     cr_assert_eq(entry.toCaller<AcceptFlow>().size(), 1);
 }
 
@@ -91,7 +89,7 @@
 // drains or retires, keys are rotated once. Every daemon must keep forwarding the flow.
 Test(flow, survivesPlannedChange)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const FlowToken token = accepted(rig);
     rig.target().state = TargetState::Draining;
     rig.publish();
@@ -103,13 +101,13 @@
     cr_assert_eq(sendData(rig, token).size(), 1);
     cr_assert(rig.all<SendToTarget>().at(0).target == token.address);
 
-    NodeRig restarted;
+    TrafficNodeFixture restarted;
     cr_assert_eq(sendData(restarted, token).size(), 1);
     // A daemon many revisions behind, which doesn't know the target yet.
-    TrafficNode behind{NodeRig::identity(), {}, rig.keys, 1};
+    TrafficNode behind{TrafficNodeFixture::identity(), {}, rig.keys, 1};
     TrafficActions actions;
-    behind.handle(FromCaller{NodeRig::Caller, FlowMessage{FlowData{Flow, token, ""}}}, rig.now,
-                  actions);
+    behind.handle(FromCaller{TrafficNodeFixture::Caller, FlowMessage{FlowData{Flow, token, ""}}},
+                  rig.now, actions);
     cr_assert(std::get<SendToTarget>(actions.at(0)).target == token.address);
 }
 
@@ -118,7 +116,7 @@
 Test(flow, isResetOnceItsTargetIsCut)
 {
     for (const std::string change : {"cut", "replaced", "gone"}) {
-        NodeRig rig;
+        TrafficNodeFixture rig;
         const FlowToken token = accepted(rig);
         if (change == "cut")
             rig.target().state = TargetState::Cut;
@@ -129,8 +127,9 @@
         rig.publish();
         cr_assert(sendData(rig, token).empty());
         cr_assert_eq(rig.toCaller<ResetFlow>().at(0).cause, ResetCause::TargetCut);
-        rig.handle(FromTarget{token.address,
-                              {NodeRig::Caller, token, {}, {}, FlowData{Flow, token, "late"}}});
+        rig.handle(
+            FromTarget{token.address,
+                       {TrafficNodeFixture::Caller, token, {}, {}, FlowData{Flow, token, "late"}}});
         cr_assert(rig.toCaller<FlowData>().empty());
         cr_assert_eq(rig.toCaller<ResetFlow>().size(), 1);
     }
@@ -141,7 +140,7 @@
 // silently: a reset would end a flow that all other daemons forward.
 Test(flow, isForwardedOnlyWithAValidToken)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const FlowToken token = accepted(rig);
     FlowToken forged = token;
     forged.service = serviceId("alexandria", "catalogue");
@@ -161,7 +160,7 @@
 // keep-alive between the rotations must renew the token.
 Test(flow, getsItsTokenRenewedBeforeTheKeyIsDropped)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const FlowToken token = accepted(rig);
     rig.fromCaller(FlowMessage{KeepAlive{Flow, token, 0}});
     cr_assert(rig.toCaller<AcceptFlow>().empty());
@@ -178,11 +177,11 @@
 // data to any address. Only messages from the address in the token may be accepted.
 Test(flow, acceptsTargetMessagesOnlyFromTheTokensAddress)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const FlowToken token = accepted(rig);
     const TargetDatagram datagram{
         Endpoint{0x0b000099, 1}, token, {}, {}, FlowData{Flow, token, "not yours"}};
-    rig.handle(FromTarget{NodeRig::Caller, datagram});
+    rig.handle(FromTarget{TrafficNodeFixture::Caller, datagram});
     cr_assert(rig.all<SendToCaller>().empty());
     rig.handle(FromTarget{token.address, datagram});
     cr_assert_eq(rig.all<SendToCaller>().size(), 1);
@@ -192,7 +191,7 @@
 // must go to another target; only if none is left is the caller refused, with a time to retry.
 Test(flow, movesOnWhenATargetRefuses)
 {
-    NodeRig rig{2};
+    TrafficNodeFixture rig{2};
     const SendToTarget first = open(rig).at(0);
     answer(rig, first, ResetFlow{Flow, ResetCause::WrongService, {}});
     const auto second = rig.all<SendToTarget>();
@@ -208,7 +207,7 @@
 {
     TrafficSettings settings;
     settings.maxPendingOpens = 3;
-    NodeRig rig{1, 1, settings};
+    TrafficNodeFixture rig{1, 1, settings};
     for (std::uint64_t id = 0; id < 5; ++id)
         cr_assert_eq(open(rig, FlowId{id}).size(), id < 3 ? 1 : 0);
     cr_assert_eq(rig.toCaller<RefuseFlow>().at(0).cause, RefusalCause::TableFull);
@@ -221,7 +220,7 @@
 // to reopen and the target to close the old flow, but not after a single lost keep-alive.
 Test(flow, isReopenedOnceItIsSilent)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const FlowToken token = accepted(rig);
     const std::uint32_t silentAfter = TrafficSettings{}.silentAfter;
     for (std::uint32_t unanswered = 0; unanswered < silentAfter; ++unanswered) {
@@ -238,23 +237,29 @@
 // not loop between them for ever: after two forwards it ends with an answer to the caller.
 Test(flow, isNotForwardedInALoop)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     rig.view.members.front().state = MemberState::Leaving;
     rig.view.members.push_back({DaemonId{101},
                                 Incarnation{1},
-                                NodeRig::OtherPeer,
+                                TrafficNodeFixture::OtherPeer,
                                 {},
                                 "alx-raml",
                                 MemberState::Alive,
                                 Revision{10}});
     rig.handle(ViewChanged{std::make_shared<View>(rig.view)});
     for (const bool isFlow : {true, false}) {
-        Handoff ask{NodeRig::Caller, NodeRig::OtherPeer, rig.target().id, 0, {}, rig.ask(1)};
+        Handoff ask{TrafficNodeFixture::Caller,
+                    TrafficNodeFixture::OtherPeer,
+                    rig.target().id,
+                    0,
+                    {},
+                    rig.ask(1)};
         if (isFlow)
             ask.body = OpenFlow{Flow, rig.service, {}, 0};
         int forwards = 0;
         for (; forwards < 10; ++forwards) {
-            rig.handle(FromPeer{NodeRig::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}});
+            rig.handle(
+                FromPeer{TrafficNodeFixture::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}});
             const SendToPeer sent = rig.all<SendToPeer>().at(0);
             if (!std::holds_alternative<Handoff>(sent.message))
                 break;
@@ -269,15 +274,16 @@
 // can't place.
 Test(flow, isReturnedByADaemonThatKnowsNoTarget)
 {
-    NodeRig rig;
-    TrafficNode joined{NodeRig::identity(), {}, rig.keys, 1};
-    Handoff ask{NodeRig::Caller, NodeRig::OtherPeer, TargetId{7}, 0, {}, rig.ask(1)};
+    TrafficNodeFixture rig;
+    TrafficNode joined{TrafficNodeFixture::identity(), {}, rig.keys, 1};
+    Handoff ask{
+        TrafficNodeFixture::Caller, TrafficNodeFixture::OtherPeer, TargetId{7}, 0, {}, rig.ask(1)};
     TrafficActions actions;
-    joined.handle(FromPeer{NodeRig::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}}, rig.now,
-                  actions);
+    joined.handle(FromPeer{TrafficNodeFixture::OtherPeer, {DaemonId{101}, Incarnation{1}, ask}},
+                  rig.now, actions);
     const auto &sent = std::get<SendToPeer>(actions.at(0));
     const auto &returned = std::get<Handoff>(sent.message);
-    cr_assert(sent.peer == NodeRig::OtherPeer && returned.hops == 1);
+    cr_assert(sent.peer == TrafficNodeFixture::OtherPeer && returned.hops == 1);
     cr_assert(returned.hints.at(0).target == TargetId{7});
 }
 
@@ -285,12 +291,12 @@
 // must go to a daemon over there, whose answer comes back through the entry.
 Test(flow, isHandedToTheDomainThatHasTargets)
 {
-    NodeRig rig{2};
+    TrafficNodeFixture rig{2};
     rig.target("t0").state = TargetState::Draining;
     rig.target("t1").domain = "alx-agami";
     rig.view.remote["alx-agami"].push_back({DaemonId{200},
                                             Incarnation{1},
-                                            NodeRig::OtherPeer,
+                                            TrafficNodeFixture::OtherPeer,
                                             {},
                                             "alx-agami",
                                             MemberState::Alive,
@@ -302,17 +308,17 @@
     rig.fromCaller(RequestMessage{rig.ask(1)});
     const auto sentRequest = rig.all<SendToPeer>().at(0);
     for (const SendToPeer &sent : {sentFlow, sentRequest}) {
-        cr_assert(sent.peer == NodeRig::OtherPeer);
+        cr_assert(sent.peer == TrafficNodeFixture::OtherPeer);
         const auto &ask = std::get<Handoff>(sent.message);
         cr_assert(ask.target == rig.target("t1").id);
-        cr_assert(ask.entry == NodeRig::identity().address);
+        cr_assert(ask.entry == TrafficNodeFixture::identity().address);
     }
 }
 
 // An older configuration arrives after a newer one, as deliveries may be reordered.
 Test(flow, configurationNeverReverts)
 {
-    NodeRig rig;
+    TrafficNodeFixture rig;
     const auto older = std::make_shared<Config>(rig.config);
     const FlowToken token = accepted(rig);
     rig.target().state = TargetState::Cut;
--- a/tests/records-known/records_close_test.cpp
+++ b/tests/records-known/records_close_test.cpp
@@ -1,4 +1,4 @@
-#include "support/records_bench.h"
+#include "support/records_fixture.h"
 
 #include <optional>
 #include <string>
--- a/tests/requests/change_test.cpp
+++ b/tests/requests/change_test.cpp
@@ -1,4 +1,4 @@
-#include "support/node_rig.h"
+#include "support/traffic_node_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -9,7 +9,7 @@
 // the queued one must not start there long after the drain began, and is refused within 3 seconds.
 Test(requestChange, emptiesTheQueueOfADrainingTarget)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto running = fixture.start(fixture.ask(1, 30s));
     cr_assert(!fixture.start(fixture.ask(2, 30s)));
     fixture.target().state = TargetState::Draining;
@@ -26,7 +26,7 @@
 // refused.
 Test(requestChange, movesTheQueueToAnotherTarget)
 {
-    NodeRig fixture{2};
+    TrafficNodeFixture fixture{2};
     std::vector<std::pair<TargetId, Dispatch>> running;
     for (std::uint64_t id = 1; id <= 3; ++id) {
         if (const auto dispatch = fixture.start(fixture.ask(id, 30s)))
@@ -50,7 +50,7 @@
 // are finished by this daemon, and only then the link is closed.
 Test(requestChange, finishesWorkOnATargetThatItNoLongerOwns)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto running = fixture.start(fixture.ask(1, 30s));
     const auto reserved = fixture.reserve(fixture.ask(2, 30s));
     fixture.view.members.front().state = MemberState::Leaving;
@@ -73,7 +73,7 @@
 Test(requestChange, startsNothingBehindTheNewOwnersWorkThatCannotEndInTime)
 {
     for (const std::uint32_t othersQueued : {0U, 1U}) {
-        NodeRig fixture;
+        TrafficNodeFixture fixture;
         const auto running = fixture.start(fixture.ask(1, 30s));
         const auto reserved = fixture.reserve(fixture.ask(2, 250ms));
         fixture.send(2, *reserved);
@@ -90,7 +90,7 @@
 // queued one as not run.
 Test(requestChange, cutEndsEverythingAtOnce)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     cr_assert(fixture.start(fixture.ask(1, 30s)).has_value());
     cr_assert(!fixture.start(fixture.ask(2, 30s)));
     fixture.target().state = TargetState::Cut;
@@ -105,7 +105,7 @@
 // queued.
 Test(requestChange, sendsNothingToATargetThatServesAnotherService)
 {
-    NodeRig fixture{1, 2};
+    TrafficNodeFixture fixture{1, 2};
     const TargetId id = fixture.target().id;
     const ServiceId other = serviceId("alexandria", "catalogue");
     cr_assert(fixture.start(fixture.ask(1)).has_value());
@@ -116,7 +116,7 @@
     cr_assert(!fixture.reserve(fixture.ask(3)));
 
     // Also while it drains, when queued requests may still start there.
-    NodeRig draining;
+    TrafficNodeFixture draining;
     const auto running = draining.start(draining.ask(1));
     cr_assert(!draining.start(draining.ask(2)));
     draining.target().state = TargetState::Draining;
@@ -125,7 +125,7 @@
     draining.done(*running);
     cr_assert(draining.onLinks<Dispatch>().empty());
 
-    NodeRig fresh{1, 2, {}, false};
+    TrafficNodeFixture fresh{1, 2, {}, false};
     fresh.handle(LinkOpened{fresh.target().id, Generation{5}});
     cr_assert(!fresh.reserve(fresh.ask(1)));
     fresh.fromLink(fresh.target().id, LinkHelloReply{other, {}});
@@ -136,7 +136,7 @@
 // of an earlier generation, must not reach the caller.
 Test(requestChange, acceptsAnAnswerOnlyFromTheTargetOfTheAttempt)
 {
-    NodeRig fixture{2};
+    TrafficNodeFixture fixture{2};
     const auto dispatch = fixture.start(fixture.ask(1));
     const bool isFirst = dispatch->first == fixture.target("t0").id;
     const TargetId other = fixture.target(isFirst ? "t1" : "t0").id;
@@ -154,7 +154,7 @@
 // the last answer can still be retransmitted.
 Test(requestChange, stopsOnceAllIsAnswered)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     auto running = fixture.start(fixture.ask(1, 30s));
     cr_assert(!fixture.start(fixture.ask(2, 30s)));
     const auto third = fixture.reserve(fixture.ask(3, 30s));
@@ -180,7 +180,7 @@
     fixture.pass(5s);
     cr_assert(fixture.all<Stopped>().empty());
 
-    NodeRig idle;
+    TrafficNodeFixture idle;
     idle.handle(StopRequested{});
     cr_assert_eq(idle.all<Stopped>().size(), 1);
 }
@@ -189,7 +189,7 @@
 // closed and reopened, and its running request ends as unknown then, not only at its deadline.
 Test(requestChange, closesAnUnresponsiveLink)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     cr_assert(fixture.start(fixture.ask(1, 60s)).has_value());
     fixture.hellosAnswered = false;
     fixture.pass(9s);
@@ -203,7 +203,7 @@
 // removal.
 Test(requestChange, proposesTheRemovalOfAnEmptyTarget)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto passWithReports = [&](Duration wait, const LoadReport &load) {
         fixture.load = load;
         fixture.pass(wait);
@@ -234,7 +234,7 @@
 {
     for (const std::size_t freed : {0, 1}) {
         for (const bool drains : {false, true}) {
-            NodeRig fixture{2};
+            TrafficNodeFixture fixture{2};
             std::vector<std::pair<TargetId, Dispatch>> running;
             for (std::uint64_t id = 1; running.size() < 2; ++id)
                 running.push_back(*fixture.start(fixture.ask(id, 30s)));
@@ -262,7 +262,7 @@
 {
     for (const bool configured : {false, true}) {
         TrafficNode node{
-            NodeRig::identity(),
+            TrafficNodeFixture::identity(),
             {},
             std::make_shared<KeyRing>(std::vector<std::byte>(32, std::byte{7}), KeyEpoch{1}),
             1};
@@ -277,8 +277,10 @@
         reserve.request = RequestId{1, 1};
         reserve.service = service;
         reserve.timeLeft = 1s;
-        node.handle(FromCaller{NodeRig::Caller, FlowMessage{open}}, TimePoint{1h}, actions);
-        node.handle(FromCaller{NodeRig::Caller, RequestMessage{reserve}}, TimePoint{1h}, actions);
+        node.handle(FromCaller{TrafficNodeFixture::Caller, FlowMessage{open}}, TimePoint{1h},
+                    actions);
+        node.handle(FromCaller{TrafficNodeFixture::Caller, RequestMessage{reserve}}, TimePoint{1h},
+                    actions);
         const auto answers = std::count_if(actions.begin(), actions.end(), [](const auto &action) {
             return std::holds_alternative<SendToCaller>(action);
         });
--- a/tests/requests/owner_test.cpp
+++ b/tests/requests/owner_test.cpp
@@ -1,4 +1,4 @@
-#include "support/node_rig.h"
+#include "support/traffic_node_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -10,7 +10,7 @@
 // resends, so that the owner can't be used as an amplifier.
 Test(requestOwner, dispatchesOnceForAllCopiesAndKeepsTheAnswer)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto token = fixture.reserve(fixture.ask(1));
     cr_assert(token.has_value());
     fixture.pass(5ms);
@@ -41,7 +41,7 @@
 // It may have run under the earlier reservation, and must not start under the later one.
 Test(requestOwner, startsNothingUnderAnEarlierReservation)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto earlier = fixture.reserve(fixture.ask(1));
     fixture.pass(4s);
     const auto later = fixture.reserve(fixture.ask(1));
@@ -56,7 +56,7 @@
 // An answer longer than a datagram is sent in parts, in order.
 Test(requestOwner, splitsLongAnswers)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto dispatch = fixture.start(fixture.ask(1));
     std::string payload;
     for (int i = 0; i < 700; ++i)
@@ -76,7 +76,7 @@
 // caller has given up waiting.
 Test(requestOwner, startsNothingPastItsDeadlineAfterAPause)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto running = fixture.start(fixture.ask(1, 10s));
     cr_assert(running && !fixture.start(fixture.ask(2, 2s)));
     fixture.now += 3s;
@@ -89,7 +89,7 @@
 // is asked to cancel, and its late answer is ignored.
 Test(requestOwner, endsARunningRequestAtItsDeadline)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto running = fixture.start(fixture.ask(1, 2s));
     fixture.pass(2s);
     cr_assert_eq(fixture.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::DeadlinePassed);
@@ -104,7 +104,7 @@
 // follows the attempts, and decays with such refusals.
 Test(requestOwner, startsNothingThatCannotEndInTime)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     for (std::uint64_t id = 100; id < 120; ++id) {
         const auto dispatch = fixture.start(fixture.ask(id, 10s));
         fixture.pass(1s);
@@ -131,13 +131,13 @@
 // the first one may have run it.
 Test(requestOwner, neverRepeatsWhatMayHaveRun)
 {
-    NodeRig nonIdempotent{2};
+    TrafficNodeFixture nonIdempotent{2};
     const auto dispatch = nonIdempotent.start(nonIdempotent.ask(1));
     nonIdempotent.handle(LinkClosed{dispatch->first, Generation{5}});
     cr_assert(nonIdempotent.onLinks<Dispatch>().empty());
     cr_assert_eq(nonIdempotent.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::LinkBroken);
 
-    NodeRig idempotent{2};
+    TrafficNodeFixture idempotent{2};
     Reserve reserve = idempotent.ask(1);
     reserve.idempotent = true;
     const auto first = idempotent.start(reserve);
@@ -158,7 +158,7 @@
 // must stay within the workspace's retry budget: an initial 10, plus 10 % of the first attempts.
 Test(requestOwner, keepsRetriesWithinTheBudget)
 {
-    NodeRig fixture{2, 4};
+    TrafficNodeFixture fixture{2, 4};
     constexpr std::uint64_t Requests = 200;
     std::size_t dispatches = 0;
     std::size_t refused = 0;
@@ -182,7 +182,7 @@
 // daemon, or forged. None of them may start a request; the caller is told at once what is known.
 Test(requestOwner, actsOnlyOnItsOwnReservations)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const RequestId request{1, 1};
     const auto token = fixture.reserve(fixture.ask(1));
     ReservationToken earlier = *token;
@@ -193,18 +193,19 @@
 
     ReservationToken other = *token;
     other.owner = DaemonId{101};
-    other.ownerAddress = NodeRig::OtherPeer;
+    other.ownerAddress = TrafficNodeFixture::OtherPeer;
     other = fixture.keys->sealReservation(request, other);
     fixture.send(1, other);
-    cr_assert_eq(fixture.all<SendToPeer>().at(0).peer, NodeRig::OtherPeer);
-    fixture.handle(FromPeer{NodeRig::OtherPeer,
-                            {DaemonId{101}, Incarnation{1},
-                             OwnerRequest{NodeRig::Caller, RequestData{request, other, ""}}}});
+    cr_assert_eq(fixture.all<SendToPeer>().at(0).peer, TrafficNodeFixture::OtherPeer);
+    fixture.handle(
+        FromPeer{TrafficNodeFixture::OtherPeer,
+                 {DaemonId{101}, Incarnation{1},
+                  OwnerRequest{TrafficNodeFixture::Caller, RequestData{request, other, ""}}}});
     cr_assert_eq(fixture.toCaller<OutcomeUnknown>().at(0).cause, UnknownCause::OwnerGone);
 
     // The other daemon joins, is suspected, leaves the view as dead members do, and is restarted.
-    Member member{DaemonId{101}, Incarnation{5},     NodeRig::OtherPeer, {},
-                  "alx-raml",    MemberState::Alive, Revision{10}};
+    Member member{DaemonId{101},      Incarnation{5}, TrafficNodeFixture::OtherPeer, {}, "alx-raml",
+                  MemberState::Alive, Revision{10}};
     const auto handedOver = [&](std::vector<Member> others) {
         View view = fixture.view;
         view.members.insert(view.members.end(), others.begin(), others.end());
@@ -239,7 +240,7 @@
 // the outcome of its running request. If the request arrives after all, it is refused.
 Test(requestOwner, expiresAReservationSilently)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto token = fixture.reserve(fixture.ask(1, 10s));
     fixture.pass(1100ms);
     cr_assert(fixture.all<SendToCaller>().empty());
@@ -247,14 +248,14 @@
     fixture.send(1, *token);
     cr_assert(fixture.onLinks<Dispatch>().empty());
     const NotRun refusal = fixture.toCaller<NotRun>().at(0);
-    cr_assert(refusal.owner == NodeRig::identity().daemon);
+    cr_assert(refusal.owner == TrafficNodeFixture::identity().daemon);
 }
 
 // A cancelled request that is queued is refused at once. For a running one the target decides: the
 // caller gets its answer, or its report that the request did not run.
 Test(requestOwner, cancels)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     const auto cancel = [&](std::uint64_t id, const ReservationToken &token) {
         fixture.fromCaller(RequestMessage{CancelRequest{RequestId{1, id}, token}});
     };
@@ -281,7 +282,7 @@
 // displaced and must be refused at once, not at its deadline; running requests are never displaced.
 Test(requestOwner, refusesADisplacedRequestAtOnce)
 {
-    NodeRig fixture;
+    TrafficNodeFixture fixture;
     std::vector<NotRun> refusals;
     for (std::uint64_t id = 1; id <= 5; ++id) {
         Reserve bulk = fixture.ask(id);
@@ -302,7 +303,7 @@
 {
     TrafficSettings settings;
     settings.maxRequests = 2;
-    NodeRig fixture{1, 8, settings};
+    TrafficNodeFixture fixture{1, 8, settings};
     const auto first = fixture.start(fixture.ask(1));
     const auto second = fixture.start(fixture.ask(2));
     cr_assert(!fixture.reserve(fixture.ask(3)));
@@ -316,7 +317,7 @@
 
     settings = {};
     settings.maxAnswerBytes = 4;
-    NodeRig answers{1, 8, settings};
+    TrafficNodeFixture answers{1, 8, settings};
     answers.done(*answers.start(answers.ask(1)));
     cr_assert(!answers.reserve(answers.ask(2)));
 }
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -24,15 +24,16 @@
     static constexpr Duration Hop = 500us;
 
     /// Sets more ports of a daemon that starts.
-    using OnPorts = std::function<void(std::size_t index, DirectCallbacks &ports)>;
+    using CustomizeCallbacks = std::function<void(std::size_t index, DirectCallbacks &ports)>;
 
     /// \param roots The first so many daemons are roots.
     DirectCluster(
         std::size_t size, std::size_t roots, std::uint64_t seed,
-        OnPorts onPorts = [](std::size_t, DirectCallbacks &) {}, DirectNodeSettings settings = {})
+        CustomizeCallbacks customizeCallbacks = [](std::size_t, DirectCallbacks &) {},
+        DirectNodeSettings settings = {})
         : store(time)
         , m_seed(seed)
-        , m_onPorts(std::move(onPorts))
+        , m_customizeCallbacks(std::move(customizeCallbacks))
         , m_settings(settings)
     {
         store.put("routes/main", "1");
@@ -193,7 +194,7 @@
               };
         ports.reader = reader();
         ports.applyVerdict = [](const Segment &, const std::string &, const SegmentVerdict &) {};
-        m_onPorts(index, ports);
+        m_customizeCallbacks(index, ports);
         return ports;
     }
 
@@ -341,7 +342,7 @@
     }
 
     std::uint64_t m_seed;
-    OnPorts m_onPorts;
+    CustomizeCallbacks m_customizeCallbacks;
     DirectNodeSettings m_settings;
     std::vector<Endpoint> m_roots;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
--- a/tests/support/direct_fleet.h
+++ b/tests/support/direct_fleet.h
@@ -100,8 +100,8 @@
     [[nodiscard]] DirectRouter &router() noexcept { return m_router; }
 
     TimePoint now{1h};
-    std::vector<SegmentCause> causes;       ///< Of every decision, in order.
-    std::vector<DirectTargetState> beliefs; ///< Every change of belief, in order.
+    std::vector<SegmentCause> causes;            ///< Of every decision, in order.
+    std::vector<DirectTargetState> stateChanges; ///< Every change of belief, in order.
 
 private:
     static constexpr std::uint32_t FirstSequence = 0xFFFFFF00; ///< Wraps round soon.
@@ -112,7 +112,7 @@
         observer.decided
             = [this](const SegmentDecision &decision) { causes.push_back(decision.cause); };
         observer.stateChanged
-            = [this](const TargetStateChange &change) { beliefs.push_back(change.state); };
+            = [this](const TargetStateChange &change) { stateChanges.push_back(change.state); };
         return observer;
     }
 
--- a/tests/support/direct_system.h
+++ b/tests/support/direct_system.h
@@ -42,7 +42,7 @@
         return world.callerLog.singleAnswered - before;
     }
 
-    void expectSound()
+    void expectNoViolations()
     {
         cr_assert_eq(world.callerLog.broken, 0, "%zu open flows broken", world.callerLog.broken);
         cr_assert_eq(world.callerLog.wrongAnswers, 0);
--- a/tests/support/expect_sound.h
+++ b/tests/support/expect_no_violations.h
@@ -7,7 +7,7 @@
 namespace baobabtrail::test {
 
 /// \brief Fails the test with everything that the cluster found wrong.
-inline void expectSound(const Cluster &net, const std::string &cell)
+inline void expectNoViolations(const Cluster &net, const std::string &cell)
 {
     const std::string problems = net.problems();
     cr_expect(problems.empty(), "%s:%s", cell.c_str(), problems.c_str());
--- a/tests/support/fake_directory_store.h
+++ b/tests/support/fake_directory_store.h
@@ -32,7 +32,7 @@
     {
         m_objects[key] = {key, value, ObjectVersion{++m_revision}};
         m_events.push_back({key, false, m_revision, value.size()});
-        if (!m_deaf)
+        if (!m_watchesMuted)
             answerWatches();
     }
 
@@ -41,7 +41,7 @@
         if (m_objects.erase(key) == 0)
             return;
         m_events.push_back({key, true, ++m_revision});
-        if (!m_deaf)
+        if (!m_watchesMuted)
             answerWatches();
     }
 
@@ -75,11 +75,11 @@
         m_lags = true;
     }
     /// \brief Watches hear nothing from now on.
-    void deafen() { m_deaf = true; }
+    void muteWatches() { m_watchesMuted = true; }
     /// \brief Drops the history and, without a word, the watches that waited.
     void compact()
     {
-        m_deaf = false;
+        m_watchesMuted = false;
         m_events.clear();
         m_forgotten = m_revision;
         m_watches.clear();
@@ -164,7 +164,7 @@
         const std::uint64_t id = ++m_lastWatch;
         m_watches.push_back({id, caller, watch, done});
         m_time.after(watch.wait, [this, id] {
-            if (!m_deaf)
+            if (!m_watchesMuted)
                 end(id);
         });
         // A watch that nobody ends, since it was dropped without a word, ends at its caller.
@@ -176,7 +176,7 @@
             done(PlatformFailure{"no answer"});
             (void)caller;
         });
-        if (!m_deaf)
+        if (!m_watchesMuted)
             answerWatches();
     }
 
@@ -253,7 +253,7 @@
     std::map<std::string, StoredObject> m_oldObjects;
     std::uint64_t m_oldRevision = 0;
     bool m_lags = false;
-    bool m_deaf = false;
+    bool m_watchesMuted = false;
 };
 
 } // namespace baobabtrail::test
--- a/tests/support/seal_anew.h
+++ b/tests/support/recompute_checksum.h
@@ -9,7 +9,7 @@
 
 /// \return A record whose text was changed, with the checksum that fits: as a newer version of the
 /// program would have written it.
-[[nodiscard]] inline std::string sealAnew(const std::string &text)
+[[nodiscard]] inline std::string recomputeChecksum(const std::string &text)
 {
     constexpr std::string_view Begin = "\"record\":";
     const std::size_t begin = text.find(Begin) + Begin.size();
--- a/tests/support/stand_still.h
+++ b/tests/support/stall_process.h
@@ -9,7 +9,7 @@
 
 /// \brief Time passes while no context runs, as in a process that stands still: events and timers
 /// are ready together afterwards.
-inline void standStill(Duration span)
+inline void stallProcess(Duration span)
 {
     boost::asio::io_context other;
     boost::asio::steady_timer{other, span}.wait();
--- a/tests/support/node_rig.h
+++ b/tests/support/traffic_node_fixture.h
@@ -9,14 +9,14 @@
 
 /// \brief One TrafficNode that owns a few targets of one service, and the actions of its last
 /// event.
-class NodeRig
+class TrafficNodeFixture
 {
 public:
     static constexpr Endpoint Caller{0x0b000001, 5000};
     static constexpr Endpoint OtherPeer{0x0a000002, 7000};
 
-    explicit NodeRig(std::uint32_t targetCount = 1, std::uint32_t slots = 1,
-                     TrafficSettings settings = {}, bool verify = true)
+    explicit TrafficNodeFixture(std::uint32_t targetCount = 1, std::uint32_t slots = 1,
+                                TrafficSettings settings = {}, bool verify = true)
         : keys(std::make_shared<KeyRing>(std::vector<std::byte>(32, std::byte{7}), KeyEpoch{1}))
         , service(serviceId("alexandria", "lending"))
         , node(identity(), settings, keys, 1)
