--- a/tests/matrix/cell.h
+++ b/tests/matrix/cell.h
@@ -176,7 +176,7 @@
             reserve.timeLeft = i % 10 == 3 ? 8s : Deadline;
             FakeRequest &request = m_net.addRequest(reserve);
             request.payloadBytes = i % 5 == 0 ? 3000 : 20;
-            request.askTwice = injected({Fault::TwoReservations}) ? 1 : 0;
+            request.extraReserves = injected({Fault::TwoReservations}) ? 1 : 0;
             if (i % 7 == 6)
                 m_net.time.after(15ms, [&request] { request.cancel(); });
         });
@@ -188,7 +188,7 @@
         reserve.timeLeft = Deadline;
         FakeRequest &request = m_net.addRequest(reserve);
         request.payloadBytes = 3000;
-        request.askTwice = injected({Fault::TwoReservations}) ? 1 : 0;
+        request.extraReserves = injected({Fault::TwoReservations}) ? 1 : 0;
     });
     time.after(4s, [this] { drain(); });
     time.after(6s, [this] {
@@ -288,9 +288,9 @@
 {
     VirtualTime &time = m_net.time;
     FakeTarget &target = *m_net.targets.at(targetId);
-    const auto setWeatherFor = [&](Weather weather, Duration howLong) {
-        m_net.weather = weather;
-        time.after(howLong, [this] { m_net.weather = {}; });
+    const auto setWeatherFor = [&](NetworkConditions conditions, Duration howLong) {
+        m_net.conditions = conditions;
+        time.after(howLong, [this] { m_net.conditions = {}; });
     };
     switch (fault) {
     case Fault::None:
@@ -345,7 +345,7 @@
         time.after(5s, [&target] { target.serviceTime = ServiceTime; });
         return;
     case Fault::TargetLying:
-        target.lying = true;
+        target.reportsIdle = true;
         return;
     case Fault::DaemonJoins: {
         const std::size_t joined = m_net.addDaemon();
--- a/tests/matrix/checks.h
+++ b/tests/matrix/checks.h
@@ -126,7 +126,7 @@
             addViolation("flow ", flow->flow, " got data that is not its own");
     }
     for (const auto &[id, target] : m_net.targets) {
-        for (const std::string &stranger : target->strangers)
+        for (const std::string &stranger : target->misdirected)
             addViolation("target ", target->config.name, " got another service's ", stranger);
     }
 }
--- a/tests/support/fake_caller.h
+++ b/tests/support/fake_caller.h
@@ -36,7 +36,7 @@
     RefusalCause refusal = RefusalCause::Overload; ///< Only with NotRun.
     UnknownCause unknown = UnknownCause::Expired;  ///< Only with Unknown.
     std::optional<ReservationToken> token;
-    std::uint32_t askTwice = 0; ///< Copies of each Reserve.
+    std::uint32_t extraReserves = 0; ///< Copies of each Reserve.
     std::size_t payloadBytes = 16;
 
     [[nodiscard]] std::string payload() const
@@ -58,7 +58,7 @@
             Reserve ask = reserve;
             ask.timeLeft = deadline - m_time.now();
             ++reserve.attempt;
-            for (std::uint32_t copy = 0; copy <= askTwice; ++copy)
+            for (std::uint32_t copy = 0; copy <= extraReserves; ++copy)
                 m_send(RequestMessage{ask});
         }
         m_time.after(Retransmission, [this] { step(); });
--- a/tests/support/fake_daemon.h
+++ b/tests/support/fake_daemon.h
@@ -22,7 +22,7 @@
 };
 
 /// \brief What the network does to datagrams at the moment.
-struct Weather
+struct NetworkConditions
 {
     double loss = 0;
     double duplicate = 0;
--- a/tests/support/fake_network.h
+++ b/tests/support/fake_network.h
@@ -25,7 +25,7 @@
 
     VirtualTime time;
     Random random;
-    Weather weather;
+    NetworkConditions conditions;
     std::vector<Daemon> daemons;
     std::map<TargetId, std::unique_ptr<FakeTarget>> targets;
     std::map<Endpoint, std::unique_ptr<FakeRequest>> requests;
@@ -223,11 +223,11 @@
     /// Carries a datagram: it may be lost, late, or come twice.
     void datagram(std::uint32_t from, std::uint32_t to, const std::function<void()> &arrive)
     {
-        const int copies = chance(weather.duplicate) ? 2 : 1;
+        const int copies = chance(conditions.duplicate) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
-            if (chance(weather.loss))
+            if (chance(conditions.loss))
                 continue;
-            time.after(weather.delay + upTo(weather.jitter), [this, from, to, arrive] {
+            time.after(conditions.delay + upTo(conditions.jitter), [this, from, to, arrive] {
                 if (!isCut(from, to))
                     arrive();
             });
--- a/tests/support/fake_target.h
+++ b/tests/support/fake_target.h
@@ -27,19 +27,19 @@
     ServiceId service;
     TargetConfig config;
     Duration serviceTime{20ms};
-    bool dead = false;     ///< Takes and answers nothing.
-    bool shedding = false; ///< Refuses every attempt and flow.
-    bool lying = false;    ///< Reports that it is idle whatever it does.
-    std::set<FlowId> lost; ///< Flows that something on the way has lost track of.
+    bool dead = false;        ///< Takes and answers nothing.
+    bool shedding = false;    ///< Refuses every attempt and flow.
+    bool reportsIdle = false; ///< Reports that it is idle whatever it does.
+    std::set<FlowId> lost;    ///< Flows that something on the way has lost track of.
 
     std::map<RequestId, int> runs;
-    std::vector<std::string> strangers; ///< What it got that was another service's.
-    TimePoint lastNewWork{};            ///< When it last got a dispatch or an open.
+    std::vector<std::string> misdirected; ///< What it got that was another service's.
+    TimePoint lastNewWork{};              ///< When it last got a dispatch or an open.
     std::map<FlowId, FlowToken> flows;
 
     [[nodiscard]] LoadReport load() const
     {
-        if (lying)
+        if (reportsIdle)
             return {};
         return {static_cast<std::uint32_t>(m_running.size()),
                 static_cast<std::uint32_t>(m_queue.size()),
@@ -69,7 +69,7 @@
             return std::nullopt;
         if (datagram.token.service != service || datagram.token.target != config.id
             || datagram.token.generation != config.generation) {
-            strangers.push_back("flow message");
+            misdirected.push_back("flow message");
             answer.body = ResetFlow{flow, ResetCause::WrongService, {}};
             return answer;
         }
@@ -114,7 +114,7 @@
     {
         lastNewWork = m_time.now();
         if (dispatch.service != service) {
-            strangers.push_back("dispatch");
+            misdirected.push_back("dispatch");
             return;
         }
         if (shedding) {
--- a/tests/support/load_replay.h
+++ b/tests/support/load_replay.h
@@ -102,7 +102,7 @@
     static constexpr Duration AcknowledgedAfter = 20ms;
     static constexpr Duration ResentAfter = 200ms;
     static constexpr double WorkSpread = 0.5;
-    static constexpr int MostRetries = 2;
+    static constexpr int MaxRetries = 2;
     static constexpr std::uint16_t RequestBytes = 100;
     static constexpr Endpoint Plain{0xC6120001, 443};
     static constexpr Endpoint Urgent{0xC6120001, 8443};
@@ -352,7 +352,7 @@
         flow.received += RequestBytes;
         flow.request = 0;
         acknowledgeLater(index, flow.received);
-        if (!ran && found->second.tries++ < MostRetries) {
+        if (!ran && found->second.tries++ < MaxRetries) {
             found->second.flow = idleFlow(found->second.urgent);
             send(id);
             return;
