--- a/bench/directory.cpp
+++ b/bench/directory.cpp
@@ -76,7 +76,7 @@
         m_cluster.countBytes = true;
         for (std::size_t index = 0; index < m_cluster.size(); ++index) {
             bytes.push_back(bytesOf(index));
-            asked.push_back(m_cluster.askedOf(index));
+            asked.push_back(m_cluster.queriesTo(index));
         }
         const std::uint64_t calls = m_cluster.store.calls();
         const double began = processorSeconds();
@@ -88,7 +88,7 @@
         m_asked = {};
         for (std::size_t index = 0; index < m_cluster.size(); ++index) {
             add(m_bytes, static_cast<double>(bytesOf(index) - bytes[index]) / seconds);
-            add(m_asked, static_cast<double>(m_cluster.askedOf(index) - asked[index]) / seconds);
+            add(m_asked, static_cast<double>(m_cluster.queriesTo(index) - asked[index]) / seconds);
         }
         m_cluster.countBytes = false;
         return static_cast<double>(m_cluster.store.calls() - calls) / seconds;
--- a/tests/directory/cluster_outage_test.cpp
+++ b/tests/directory/cluster_outage_test.cpp
@@ -121,11 +121,11 @@
     cluster.time.run(10s);
     cluster.store.down = true;
     const std::uint64_t before = cluster.store.calls();
-    const std::uint64_t asksBefore = cluster.asks;
+    const std::uint64_t asksBefore = cluster.queries;
     cluster.time.run(10s);
     const std::uint64_t calls = cluster.store.calls() - before;
-    const std::uint64_t asks = cluster.asks - asksBefore;
-    cr_assert_leq(asks, 91 * 10 * 20, "%lu queries in 10 s", asks);
+    const std::uint64_t queries = cluster.queries - asksBefore;
+    cr_assert_leq(queries, 91 * 10 * 20, "%lu queries in 10 s", queries);
     // Three roots that retry each second make 80 calls; 88 followers query the store themselves
     // three times in this time, at growing intervals, in case only their roots can't reach it: 528.
     cr_assert_leq(calls, 700, "%lu calls", calls);
@@ -146,7 +146,7 @@
     const std::uint64_t before = cluster.store.calls();
     std::vector<std::uint64_t> askedBefore;
     for (std::size_t root = 0; root < 3; ++root)
-        askedBefore.push_back(cluster.askedOf(root));
+        askedBefore.push_back(cluster.queriesTo(root));
     cluster.time.run(10s);
     const std::uint64_t calls = cluster.store.calls() - before;
     // Three roots that retry each second make 80 calls. For each collection 12 daemons have a
@@ -154,7 +154,7 @@
     // is for slots that change hands.
     cr_assert_leq(calls, 300, "%lu calls", calls);
     for (std::size_t root = 0; root < 3; ++root) {
-        const std::uint64_t asked = cluster.askedOf(root) - askedBefore[root];
+        const std::uint64_t asked = cluster.queriesTo(root) - askedBefore[root];
         cr_assert_leq(asked, 10 * 60, "%lu queries to a root in 10 s", asked);
     }
     cluster.store.down = false;
--- a/tests/directory/cluster_test.cpp
+++ b/tests/directory/cluster_test.cpp
@@ -51,12 +51,12 @@
 Test(directory, anEntryThatCannotBeReadNamesNoTarget)
 {
     std::size_t said = 0;
-    const auto customizeCallbacks = [&said](std::size_t, DirectCallbacks &ports) {
-        ports.onNotice = [&said](const NodeNotice &notice) {
+    const auto customizeCallbacks = [&said](std::size_t, DirectCallbacks &callbacks) {
+        callbacks.onNotice = [&said](const NodeNotice &notice) {
             said += std::holds_alternative<ObjectRefused>(notice);
         };
-        ports.reader.target
-            = [whole = ports.reader.target](
+        callbacks.reader.target
+            = [whole = callbacks.reader.target](
                   const StoredObject &object) -> std::variant<RegisteredTarget, DirectoryFinding> {
             if (object.value.starts_with("spoilt"))
                 return DirectoryFinding{object.key + ": state", "expected ready or draining"};
--- a/tests/directory/lapse_test.cpp
+++ b/tests/directory/lapse_test.cpp
@@ -20,8 +20,8 @@
 struct LapseCluster
 {
     explicit LapseCluster(std::uint64_t seed)
-        : cluster(8, 3, seed, [this](std::size_t index, DirectCallbacks &ports) {
-            ports.observer.stateChanged = [this, index](const TargetStateChange &change) {
+        : cluster(8, 3, seed, [this](std::size_t index, DirectCallbacks &callbacks) {
+            callbacks.observer.stateChanged = [this, index](const TargetStateChange &change) {
                 if (change.target.entry.id == TargetId{Lapsing}
                     && change.state == DirectTargetState::Gone)
                     reportedGone.insert(index);
--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -129,7 +129,7 @@
     // Three roots list 13 pages and watch two collections, 1.5 s each: 102 calls in 14 s.
     cr_expect_leq(fleet.maxConnections(), 4100 / 4, "a share of a VM's descriptors");
     cr_expect_leq(calls, 150, "%lu calls to the store, %lu queries, at most %zu connections", calls,
-                  fleet.cluster.asks, fleet.maxConnections());
+                  fleet.cluster.queries, fleet.maxConnections());
 }
 
 } // namespace
@@ -222,14 +222,14 @@
         fleet.cluster.time.run(10s);
         fleet.cluster.store.down = true;
         fleet.cluster.time.run(outage);
-        const std::uint64_t asks = fleet.cluster.asks;
+        const std::uint64_t queries = fleet.cluster.queries;
         fleet.losePower(fleet.daemons(4));
         fleet.cluster.time.run(StartSpread + ServesWithin);
         cr_expect_eq(fleet.ready(), 300, "%zu daemons, store unavailable for %ld us", fleet.ready(),
                      outage.count());
         // For each daemon a path down the tree and a few rounds without an answer.
-        cr_expect_leq(fleet.cluster.asks - asks, 300 * 30, "%lu queries",
-                      fleet.cluster.asks - asks);
+        cr_expect_leq(fleet.cluster.queries - queries, 300 * 30, "%lu queries",
+                      fleet.cluster.queries - queries);
         fleet.cluster.store.down = false;
         fleet.cluster.time.run(5s);
         cr_expect_eq(fleet.fresh(), 300, "%zu daemons", fleet.fresh());
--- a/tests/explain/walkthrough_test.cpp
+++ b/tests/explain/walkthrough_test.cpp
@@ -41,7 +41,7 @@
     (void)system.send(2, request(label, 0, 1));
     system.cluster.time.run(300ms);
     (void)system.send(2, request(label, 0, 1));
-    expectInOrder(system.story(Complaining),
+    expectInOrder(system.explanation(Complaining),
                   {"daemon: start", "config: routes_in_force", "daemon: ready", "flows: repeated",
                    "cause: the caller sent again: its target acknowledged nothing"});
 }
@@ -61,10 +61,10 @@
     system.cluster.time.run(200ms);
     opening.retransmits = 1;
     (void)system.send(2, opening);
-    const std::string story = system.story(Complaining);
-    expectInOrder(story, {"flows: stale_view", "copy=0", "fresh=false",
-                          "view_age_ms=", "flows: stale_view", "copy=1",
-                          "cause: the daemon's view was out of date, so it said nothing"});
+    const std::string explanation = system.explanation(Complaining);
+    expectInOrder(explanation, {"flows: stale_view", "copy=0", "fresh=false",
+                                "view_age_ms=", "flows: stale_view", "copy=1",
+                                "cause: the daemon's view was out of date, so it said nothing"});
     expectInOrder(system.text(), {"\"event\":\"store_lost\"", "\"why\":"});
 }
 
@@ -82,7 +82,7 @@
         system.cluster.time.run(asked == 500 ? 170ms : 35ms);
         (void)system.send(2, DirectFleet::data(Complaining, label, asked + 100, 0, ++answered));
     }
-    expectInOrder(system.story(Complaining),
+    expectInOrder(system.explanation(Complaining),
                   {"flows: placed", "in_flight=0", "flows: slow_answer", "took_ms=170.0",
                    "usual_ms=35.0", "cause: its target answered late"});
 }
@@ -115,7 +115,7 @@
     (void)ask(0);
     system.cluster.time.run(150ms);
     (void)system.send(2, DirectFleet::data(Complaining + number, labels[number], 100, 0, 101));
-    expectInOrder(system.story(Complaining),
+    expectInOrder(system.explanation(Complaining),
                   {"targets: saturated", "window=", "usual_ms=", "flows: held", "held=1",
                    "flows: released", "held_ms=150.0",
                    "cause: its target was saturated; the request waited before it went on"});
@@ -133,7 +133,7 @@
     refused.flow.service.port += 1;
     (void)system.send(2, refused);
     cr_assert_eq(system.leftOut(2), 280);
-    expectInOrder(system.story(Complaining), {"flows: no_route", "cause: no service had"});
+    expectInOrder(system.explanation(Complaining), {"flows: no_route", "cause: no service had"});
     system.cluster.time.run(1s);
     (void)system.open(2, 500);
     expectInOrder(system.text(), {"\"event\":\"no_route\"", "\"left_out\":280"});
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -24,7 +24,7 @@
     static constexpr Duration Hop = 500us;
 
     /// Sets more ports of a daemon that starts.
-    using CustomizeCallbacks = std::function<void(std::size_t index, DirectCallbacks &ports)>;
+    using CustomizeCallbacks = std::function<void(std::size_t index, DirectCallbacks &callbacks)>;
 
     /// \param roots The first so many daemons are roots.
     DirectCluster(
@@ -55,7 +55,7 @@
         daemon.connections = FakeConnections{};
         const std::string domain = "d" + std::to_string(index % 3);
         daemon.node = std::make_unique<DirectNode>(PeerIdentity{addressOf(index), domain},
-                                                   m_settings, ports(index), ++m_seed);
+                                                   m_settings, callbacks(index), ++m_seed);
         daemon.node->start(m_roots);
     }
 
@@ -87,7 +87,10 @@
     [[nodiscard]] bool frozen(std::size_t index) const { return m_daemons[index]->frozen; }
     [[nodiscard]] std::size_t size() const noexcept { return m_daemons.size(); }
     /// \return Questions that other daemons have asked this one so far.
-    [[nodiscard]] std::uint64_t askedOf(std::size_t index) const { return m_daemons[index]->asked; }
+    [[nodiscard]] std::uint64_t queriesTo(std::size_t index) const
+    {
+        return m_daemons[index]->asked;
+    }
     /// \return Bytes that a daemon has sent to others so far, bodies without heads; and how many.
     [[nodiscard]] std::pair<std::uint64_t, std::uint64_t> sentBy(std::size_t index) const
     {
@@ -117,8 +120,8 @@
 
     VirtualTime time;
     FakeDirectoryStore store;
-    std::uint64_t asks = 0;  ///< Questions between daemons so far.
-    bool countBytes = false; ///< Whether sentBy() is kept; it costs time.
+    std::uint64_t queries = 0; ///< Questions between daemons so far.
+    bool countBytes = false;   ///< Whether sentBy() is kept; it costs time.
     /// Of each daemon's own link, either way together; 0 for links without a bound.
     std::uint64_t linkBytesPerSecond = 0;
     bool sendsAsWritten = false; ///< Answers pass links as the daemon writes them; it costs time.
@@ -161,15 +164,15 @@
             };
     }
 
-    [[nodiscard]] DirectCallbacks ports(std::size_t index)
+    [[nodiscard]] DirectCallbacks callbacks(std::size_t index)
     {
-        DirectCallbacks ports;
-        ports.feed.now = [this] { return time.now(); };
-        ports.feed.after = [this, index](Duration wait, std::function<void()> call) {
+        DirectCallbacks callbacks;
+        callbacks.feed.now = [this] { return time.now(); };
+        callbacks.feed.after = [this, index](Duration wait, std::function<void()> call) {
             time.after(wait, at(index, std::move(call)));
         };
-        ports.feed.call = [this, index](const PlatformRequest &request,
-                                        std::function<void(PlatformResult)> done) {
+        callbacks.feed.call = [this, index](const PlatformRequest &request,
+                                            std::function<void(PlatformResult)> done) {
             store.call(static_cast<int>(index), request,
                        [this, index, done, life = std::weak_ptr{m_daemons[index]->life}](
                            const PlatformResult &result) {
@@ -185,24 +188,25 @@
                                       at(index, [done, seen] { done(seen); }));
                        });
         };
-        ports.peers.now = ports.feed.now;
-        ports.peers.after = ports.feed.after;
-        ports.peers.ask
+        callbacks.peers.now = callbacks.feed.now;
+        callbacks.peers.after = callbacks.feed.after;
+        callbacks.peers.ask
             = [this, index](const Endpoint &peer, const PeerQuery &question,
                             const QueryTimeouts &limits, std::function<void(PeerResult)> done) {
                   ask(index, peer, question, limits, std::move(done));
               };
-        ports.reader = reader();
-        ports.applyVerdict = [](const Segment &, const std::string &, const SegmentVerdict &) {};
-        m_customizeCallbacks(index, ports);
-        return ports;
+        callbacks.reader = reader();
+        callbacks.applyVerdict
+            = [](const Segment &, const std::string &, const SegmentVerdict &) {};
+        m_customizeCallbacks(index, callbacks);
+        return callbacks;
     }
 
     // Answers on the way share the links, so that each begins to arrive as soon as it is given.
     void ask(std::size_t from, const Endpoint &peer, const PeerQuery &question,
              const QueryTimeouts &limits, std::function<void(PeerResult)> done)
     {
-        ++asks;
+        ++queries;
         const auto answered = std::make_shared<bool>(false);
         const auto begun = std::make_shared<bool>(false);
         const auto once = [this, from, answered, done](const PeerReply &reply) {
--- a/tests/support/load_replay.h
+++ b/tests/support/load_replay.h
@@ -60,7 +60,9 @@
         , m_targets(pattern.targets)
         , m_cluster(
               pattern.daemons, pattern.daemons, seed,
-              [this](std::size_t index, DirectCallbacks &ports) { setPorts(index, ports); },
+              [this](std::size_t index, DirectCallbacks &callbacks) {
+                  setCallbacks(index, callbacks);
+              },
               settingsOf(pattern))
     {
         for (std::size_t id = 1; id <= pattern.targets; ++id)
@@ -141,9 +143,9 @@
         return settings;
     }
 
-    void setPorts(std::size_t index, DirectCallbacks &ports)
+    void setCallbacks(std::size_t index, DirectCallbacks &callbacks)
     {
-        ports.reader.routes
+        callbacks.reader.routes
             = [this](const StoredObject &object) -> std::variant<RouteTable, DirectoryFinding> {
             RouteTable table;
             table.version = std::stoull(object.value);
@@ -158,8 +160,8 @@
             }
             return table;
         };
-        ports.reader.target
-            = [this, read = ports.reader.target](
+        callbacks.reader.target
+            = [this, read = callbacks.reader.target](
                   const StoredObject &object) -> std::variant<RegisteredTarget, DirectoryFinding> {
             auto result = read(object);
             RegisteredTarget &target = std::get<RegisteredTarget>(result);
@@ -167,11 +169,13 @@
             target.domain = "d" + std::to_string(target.id.value() % 3);
             return result;
         };
-        ports.observer.decided = [this](const SegmentDecision &decision) {
+        callbacks.observer.decided = [this](const SegmentDecision &decision) {
             m_result.held += m_measuring && decision.cause == SegmentCause::Held;
         };
-        ports.applyVerdict = [this](const Segment &segment, const std::string &,
-                                    const SegmentVerdict &verdict) { carried(segment, verdict); };
+        callbacks.applyVerdict
+            = [this](const Segment &segment, const std::string &, const SegmentVerdict &verdict) {
+                  carried(segment, verdict);
+              };
         (void)index;
     }
 
@@ -202,7 +206,7 @@
             m_urgent.asked += urgent;
         }
         send(id);
-        m_cluster.time.after(m_pattern.timeout, [this, id] { giveUp(id); });
+        m_cluster.time.after(m_pattern.timeout, [this, id] { abandon(id); });
     }
 
     /// \return An open flow without a request, at random; a new one where there is none.
@@ -279,7 +283,7 @@
         });
     }
 
-    void giveUp(std::uint64_t id)
+    void abandon(std::uint64_t id)
     {
         const auto found = m_requests.find(id);
         if (found == m_requests.end())
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -18,8 +18,9 @@
 public:
     explicit LoggedCluster(std::size_t size, std::uint32_t linesPerSecond = 20)
         : m_linesPerSecond(linesPerSecond)
-        , cluster(size, 2, 1,
-                  [this](std::size_t index, DirectCallbacks &ports) { connect(index, ports); })
+        , cluster(size, 2, 1, [this](std::size_t index, DirectCallbacks &callbacks) {
+            connect(index, callbacks);
+        })
     {
     }
 
@@ -45,7 +46,7 @@
     }
 
     /// \return What baobabctl prints of a caller's flow.
-    [[nodiscard]] std::string story(std::uint16_t caller) const
+    [[nodiscard]] std::string explanation(std::uint16_t caller) const
     {
         std::istringstream log{m_text};
         std::ostringstream out;
@@ -57,37 +58,38 @@
     [[nodiscard]] std::uint64_t leftOut(std::size_t daemon) { return m_logs.at(daemon)->leftOut(); }
 
 private:
-    void connect(std::size_t index, DirectCallbacks &ports)
+    void connect(std::size_t index, DirectCallbacks &callbacks)
     {
         auto &log = m_logs[index];
         log = std::make_unique<daemon::DirectLog>(
             m_linesPerSecond,
             [this, index](const daemon::LogEvent &event) { write(index, event); });
-        const auto now = ports.feed.now;
+        const auto now = callbacks.feed.now;
         log->started("d" + std::to_string(index), "d" + std::to_string(index % 3), {}, {});
-        ports.observer.decided = [this, index, now](const SegmentDecision &decision) {
+        callbacks.observer.decided = [this, index, now](const SegmentDecision &decision) {
             m_logs[index]->write(decision, *cluster.node(index), now());
         };
-        ports.observer.stateChanged = [this, index, now](const TargetStateChange &change) {
+        callbacks.observer.stateChanged = [this, index, now](const TargetStateChange &change) {
             m_logs[index]->write(change, *cluster.node(index), now());
         };
-        ports.reader.routes = [this, read = ports.reader.routes](const StoredObject &object) {
-            auto result = read(object);
-            if (auto *table = std::get_if<RouteTable>(&result)) {
-                for (auto &[address, route] : table->routes)
-                    route.policy = m_promise;
-            }
-            return result;
-        };
-        ports.observer.saturated = [this, index, now](const SaturationChange &change) {
+        callbacks.reader.routes
+            = [this, read = callbacks.reader.routes](const StoredObject &object) {
+                  auto result = read(object);
+                  if (auto *table = std::get_if<RouteTable>(&result)) {
+                      for (auto &[address, route] : table->routes)
+                          route.policy = m_promise;
+                  }
+                  return result;
+              };
+        callbacks.observer.saturated = [this, index, now](const SaturationChange &change) {
             m_logs[index]->write(change, *cluster.node(index), now());
         };
-        ports.observer.measured = [this, index, now](const FlowMeasurement &measured) {
+        callbacks.observer.measured = [this, index, now](const FlowMeasurement &measured) {
             m_logs[index]->write(measured, *cluster.node(index), now());
         };
-        ports.onNotice
+        callbacks.onNotice
             = [this, index, now](const NodeNotice &notice) { m_logs[index]->write(notice, now()); };
-        ports.ready = [this, index] { m_logs[index]->ready(*cluster.node(index)); };
+        callbacks.ready = [this, index] { m_logs[index]->ready(*cluster.node(index)); };
     }
 
     void write(std::size_t index, const daemon::LogEvent &event)
