--- a/tests/directory/start_test.cpp
+++ b/tests/directory/start_test.cpp
@@ -57,7 +57,7 @@
         boost::random::uniform_int_distribution<Duration::rep> wait{0, StartSpread.count()};
         for (const std::size_t index : daemons)
             cluster.time.after(Duration{wait(random)}, [this, index] {
-                cluster.dark.erase(index);
+                cluster.withoutPower.erase(index);
                 cluster.start(index);
             });
     }
@@ -66,7 +66,7 @@
     void losePower(const std::vector<std::size_t> &daemons)
     {
         for (const std::size_t index : daemons) {
-            cluster.dark.insert(index);
+            cluster.withoutPower.insert(index);
             cluster.kill(index);
         }
         cluster.time.run(PowerOffTime);
--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -126,7 +126,8 @@
     std::uint64_t linkBytesPerSecond = 0;
     bool sendsAsWritten = false; ///< Answers pass links as the daemon writes them; it costs time.
     std::set<std::size_t> cutFromPeers; ///< Daemons whose messages to and from others get lost.
-    std::set<std::size_t> dark; ///< Daemons whose VMs have no power: connections to them hang.
+    std::set<std::size_t>
+        withoutPower; ///< Daemons whose VMs have no power: connections to them hang.
     /// Each daemon's time for one question of another one, which it handles one after the other.
     Duration handling{0};
 
@@ -216,14 +217,15 @@
         };
         const std::size_t to = peer.address - addressOf(0).address;
         const bool cut = cutFromPeers.contains(from) || cutFromPeers.contains(to);
-        const Duration begin = cut || dark.contains(to) ? std::min(limits.connect, limits.firstByte)
-                                                        : limits.firstByte;
+        const Duration begin = cut || withoutPower.contains(to)
+                                   ? std::min(limits.connect, limits.firstByte)
+                                   : limits.firstByte;
         time.after(begin, at(from, [once, begun] {
                        if (!*begun)
                            once(std::nullopt);
                    }));
         time.after(limits.total, at(from, [once] { once(std::nullopt); }));
-        if (cut || dark.contains(to))
+        if (cut || withoutPower.contains(to))
             return;
         ++m_daemons[to]->asked;
         if (countBytes)
