--- a/tests/support/change_builder.h
+++ b/tests/support/change_builder.h
@@ -13,7 +13,7 @@
     return {{"alexandria", service}, target};
 }
 
-/// \return An endpoint at which no other number's target listens.
+/// \return An endpoint that is unique to the target number.
 [[nodiscard]] inline Endpoint addressOf(std::uint16_t number)
 {
     return {0x0a630001, static_cast<std::uint16_t>(20000 + number)};
@@ -40,7 +40,8 @@
     return record;
 }
 
-/// \return Declares a workspace with the services lending and catalogue and one target of lending.
+/// \return A change that declares a workspace with the services lending and catalogue, and one
+/// target of lending.
 [[nodiscard]] inline ChangeRecord declaration(std::string id = "declare")
 {
     return change(std::move(id),
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -14,9 +14,10 @@
     return change(id, {SetWeight{T1, weight}});
 }
 
-/// \brief Three failure domains of a few daemons each, with one change in force.
+/// \brief A FakeControlNet of three failure domains with a few daemons each; declaration() is in
+/// force.
 ///
-/// Daemons are numbered by domain: the first ones are those of alx-raml.
+/// Daemons are numbered domain by domain, starting with alx-raml.
 struct Cluster : FakeControlNet
 {
     explicit Cluster(std::uint64_t seed = 1, std::size_t size = 3, ControlSettings settings = {})
@@ -43,7 +44,8 @@
         return found ? std::get_if<Outcome>(found) : nullptr;
     }
 
-    /// \brief Asks until the change is accepted. \return Its revision, or 0.
+    /// \brief Proposes a change up to five times until it is accepted.
+    /// \return Its revision, or 0 if it was not accepted.
     Revision accept(std::size_t node, const ChangeRecord &draft)
     {
         for (int tries = 0; tries < 5; ++tries) {
@@ -55,7 +57,7 @@
         return Revision{};
     }
 
-    /// \return All that is wrong, in one text.
+    /// \return All violations in one text; empty if there are none.
     [[nodiscard]] std::string problems() const
     {
         std::string text;
--- a/tests/support/cluster_checks.h
+++ b/tests/support/cluster_checks.h
@@ -23,7 +23,7 @@
         cr_assert(cluster.node(index)->fresh(), "daemon %zu", index);
 }
 
-/// \return Daemons that would place a new flow at the target.
+/// \return Number of daemons that would place a new flow on the target.
 [[nodiscard]] inline std::size_t placing(DirectCluster &cluster, std::uint64_t target)
 {
     std::size_t count = 0;
@@ -38,7 +38,8 @@
     cluster.store.put(DirectCluster::targetKey(target), state);
 }
 
-/// \return Daemons that would place no new flow in the failure domain.
+/// \return Number of ready daemons that treat the failure domain as evacuated: they place no new
+/// flow there.
 [[nodiscard]] inline std::size_t evacuating(DirectCluster &cluster, const std::string &domain)
 {
     std::size_t count = 0;
--- a/tests/support/configuration_text.h
+++ b/tests/support/configuration_text.h
@@ -8,8 +8,9 @@
 
 namespace baobabtrail::test {
 
-/// \return A configuration as an operator writes it, some 190 bytes a route; one with more routes
-/// begins with those of one with fewer. DirectCluster reads the version that it begins with.
+/// \return A configuration as an operator writes it, about 190 bytes per route. It starts with its
+/// version, which is all that DirectCluster reads. A text with more routes starts with the routes
+/// of one with fewer.
 [[nodiscard]] inline std::string configurationText(std::uint64_t version, std::size_t routes)
 {
     boost::random::mt19937 random{7};
--- a/tests/support/control_checks.h
+++ b/tests/support/control_checks.h
@@ -12,8 +12,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief What must hold of the log, of what is in force and of what operators are told, at any
-/// time and under any fault.
+/// \brief Invariants of the change log, the configuration in force and the outcomes reported to
+/// operators. They hold at any time and under any fault.
 class ControlChecks
 {
 public:
@@ -47,7 +47,8 @@
         return found == m_outcomes.end() ? nullptr : &found->second;
     }
 
-    /// \brief Checks the log and every outcome against each other.
+    /// \brief Checks the log and all outcomes against each other.
+    /// \return These and all earlier violations.
     [[nodiscard]] std::vector<std::string> violations(const FakePlatform &platform) const
     {
         std::vector<std::string> found = m_violations;
@@ -82,7 +83,7 @@
         const auto *accepted = std::get_if<ProposalAccepted>(&outcome);
         if (accepted && (entry == changes.end() || entry->second != accepted->revision))
             found.push_back("change " + change + " was accepted and is not in the log");
-        // Asked again later it may have been accepted; then that was said to someone.
+        // A refused change may be proposed again and accepted; then that outcome was reported too.
         const bool refused = std::holds_alternative<ProposalRefused>(outcome);
         if (refused && entry != changes.end() && !wasAccepted(change))
             found.push_back("change " + change + " was refused and is in the log");
--- a/tests/support/expect_no_violations.h
+++ b/tests/support/expect_no_violations.h
@@ -6,7 +6,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief Fails the test with everything that the cluster found wrong.
+/// \brief Fails the test with all violations that the cluster found.
+/// \param cell Name of the case, for the message.
 inline void expectNoViolations(const Cluster &net, const std::string &cell)
 {
     const std::string problems = net.problems();
