--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief A small deployment of real processes on loopback.
+/// \brief Fixture for tests with a small deployment of real processes on loopback.
 
 #include "support/free_ports.h"
 #include "support/http.h"
@@ -21,8 +21,9 @@
 
 namespace baobabtrail::test {
 
-/// \brief Platform, fabric, daemons of one failure domain, and targets of alexandria/lending, which
-/// are declared and in force on every daemon when the constructor returns.
+/// \brief Starts the platform and fabric stand-ins, daemons of one failure domain and targets of
+/// alexandria/lending. When the constructor returns, the targets are declared and in force on every
+/// daemon.
 class Deployment
 {
 public:
@@ -62,7 +63,7 @@
         return ctl.waitForEnd();
     }
 
-    /// \return How often each request was started, over all targets.
+    /// \return Number of runs of each request, summed over all targets.
     [[nodiscard]] std::map<std::string, std::int64_t> runs() const
     {
         std::map<std::string, std::int64_t> out;
--- a/tests/support/free_ports.h
+++ b/tests/support/free_ports.h
@@ -27,8 +27,8 @@
     return !error;
 }
 
-/// \brief Finds ports that are free for TCP and UDP, below those that the kernel hands out:
-/// one of these could be taken by any socket before the daemon binds it.
+/// \brief Finds ports that are free for TCP and UDP, below the kernel's ephemeral range: any socket
+/// could get a port of that range before the daemon binds it.
 [[nodiscard]] inline Ports freePorts(std::size_t count)
 {
     constexpr int First = 20000;
--- a/tests/support/http.h
+++ b/tests/support/http.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Calls to the stand-ins' control ports.
+/// \brief HTTP calls to the control ports of the stand-ins.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -15,7 +15,8 @@
 
 namespace baobabtrail::test {
 
-/// \return Body of the response. \throws std::exception where there is none or it reports an error.
+/// \return Body of the response.
+/// \throws std::exception If there is no response or its status is 300 or higher.
 inline std::string callHttp(boost::beast::http::verb verb, std::uint16_t port,
                             const std::string &path, const std::string &body = {})
 {
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Processes that a test starts, and ends by their id.
+/// \brief Child processes of a test, which it ends by their process ids.
 
 #include <csignal>
 #include <cstdint>
@@ -24,8 +24,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief Processes that are to be killed when the test ends by a failed assertion, which leaves
-/// its scopes without destructors: they would run on and hold the test's output open.
+/// \brief Kills the remaining child processes when the test exits. A failed assertion leaves scopes
+/// without calling destructors; the processes would keep running and hold the test's output open.
 class Leftovers
 {
 public:
@@ -48,7 +48,7 @@
     std::set<pid_t> m_ids;
 };
 
-/// \brief A program of the build directory; killed at the end of the scope.
+/// \brief Runs a program of the build directory and kills it at the end of the scope.
 ///
 /// \code
 /// Process platform{"standin-platform", {"--vm_lag_ms=0"}};
@@ -59,9 +59,9 @@
 public:
     enum class Output { Ready, Hidden, Inherited, Unread, File };
 
-    /// \param output Ready: waits for the line "ready NAME=PORT ..." on standard output. Hidden:
-    /// drops what it prints. Inherited: it prints to where the test prints. Unread: it prints into
-    /// a pipe that nobody reads. File: it is appended to \a file.
+    /// \param output Where standard output goes. Ready: to a pipe; the constructor waits for the
+    /// line "ready NAME=PORT ...". Hidden: to /dev/null. Inherited: to the test's output. Unread:
+    /// to a pipe that nobody reads. File: appended to \a file.
     Process(const std::string &program, std::vector<std::string> arguments,
             Output output = Output::Ready, std::string file = {})
         : m_file(std::move(file))
@@ -93,7 +93,7 @@
             kill(m_id, signal);
     }
 
-    /// \return Exit status, or the negative number of the signal that ended it.
+    /// \return Exit status, or the negated number of the signal that ended the process.
     int waitForEnd()
     {
         if (m_id <= 0)
@@ -106,7 +106,7 @@
         return m_status;
     }
 
-    /// \return Whether it has ended, without waiting for it.
+    /// \return Whether the process has ended; doesn't wait for it.
     [[nodiscard]] bool ended() const
     {
         siginfo_t info{};
@@ -115,10 +115,10 @@
                    && info.si_pid == m_id);
     }
 
-    /// \brief Whoever read what the program prints is gone.
+    /// \brief Closes the reading end of the pipe from the program's standard output.
     void closeOutput() { m_output.reset(); }
 
-    /// \return One more line of standard output; empty at its end.
+    /// \return The next line of standard output; empty at its end.
     [[nodiscard]] std::string readLine()
     {
         std::string line;
@@ -151,7 +151,7 @@
             writeTo("/dev/null", actions);
         else if (output == Output::File)
             writeTo(m_file.c_str(), actions);
-        // Sockets of the test that the program held too would stay bound after the test closed
+        // Sockets of the test that the program inherits would stay bound after the test has closed
         // them.
         posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
         const int error = posix_spawn(&m_id, path.c_str(), &actions, nullptr, argv.data(), environ);
--- a/tests/support/stall_process.h
+++ b/tests/support/stall_process.h
@@ -7,8 +7,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief Time passes while no context runs, as in a process that stands still: events and timers
-/// are ready together afterwards.
+/// \brief Simulates a process stall: time passes while no I/O context runs, so that events and
+/// timers are ready together afterwards.
 inline void stallProcess(Duration span)
 {
     boost::asio::io_context other;
--- a/tests/support/temporary_directory.h
+++ b/tests/support/temporary_directory.h
@@ -7,7 +7,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief A directory that goes with its owner.
+/// \brief A temporary directory, removed with its contents by the destructor.
 class TemporaryDirectory
 {
 public:
--- a/tests/support/wait_until.h
+++ b/tests/support/wait_until.h
@@ -8,7 +8,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief Waits for a condition; a condition that throws counts as not yet true.
+/// \brief Polls a condition until it is true; a condition that throws counts as false.
+/// \throws std::runtime_error After 30 s.
 inline void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
     using namespace std::chrono_literals;
@@ -18,9 +19,9 @@
             if (condition())
                 return;
         } catch (const std::exception &) {
-            // The process that is asked does not answer yet.
+            // The queried process does not answer yet.
         }
-        std::this_thread::sleep_for(20ms); // between two looks, not instead of one
+        std::this_thread::sleep_for(20ms); // polling interval
     }
     throw std::runtime_error("waited too long for " + what);
 }
