--- a/tests/support/direct_cluster.h
+++ b/tests/support/direct_cluster.h
@@ -14,19 +14,19 @@
 
 namespace baobabtrail::test {
 
-/// \brief Daemons with a store and a network between them, in virtual time.
+/// \brief Several DirectNodes with a fake store and a network between them, in virtual time.
 ///
-/// A target's object holds "SERVICE STATE" ("x ready", "x draining"); the routes' object the
-/// version.
+/// A target's object in the store holds "SERVICE STATE" ("x ready", "x draining"); the object of
+/// the routes holds their version.
 class DirectCluster
 {
 public:
     static constexpr Duration Hop = 500us;
 
-    /// Sets more ports of a daemon that starts.
+    /// Changes the callbacks of a daemon before it starts.
     using CustomizeCallbacks = std::function<void(std::size_t index, DirectCallbacks &callbacks)>;
 
-    /// \param roots The first so many daemons are roots.
+    /// \param roots Number of roots: the first daemons.
     DirectCluster(
         std::size_t size, std::size_t roots, std::uint64_t seed,
         CustomizeCallbacks customizeCallbacks = [](std::size_t, DirectCallbacks &) {},
@@ -65,7 +65,8 @@
         m_daemons[index]->node.reset();
     }
 
-    /// \brief What reaches the daemon meanwhile is handled when it wakes.
+    /// \brief Stalls the daemon's process. Events that arrive meanwhile are handled when it
+    /// resumes.
     void freeze(std::size_t index, Duration span)
     {
         Daemon &daemon = *m_daemons[index];
@@ -86,24 +87,25 @@
     [[nodiscard]] DirectNode *node(std::size_t index) { return m_daemons[index]->node.get(); }
     [[nodiscard]] bool frozen(std::size_t index) const { return m_daemons[index]->frozen; }
     [[nodiscard]] std::size_t size() const noexcept { return m_daemons.size(); }
-    /// \return Questions that other daemons have asked this one so far.
+    /// \return Number of queries from other daemons to this one so far.
     [[nodiscard]] std::uint64_t queriesTo(std::size_t index) const
     {
         return m_daemons[index]->asked;
     }
-    /// \return Bytes that a daemon has sent to others so far, bodies without heads; and how many.
+    /// \return Bytes that a daemon has sent to others so far, bodies without HTTP headers, and the
+    /// number of messages.
     [[nodiscard]] std::pair<std::uint64_t, std::uint64_t> sentBy(std::size_t index) const
     {
         return {m_daemons[index]->bytes, m_daemons[index]->messages};
     }
 
-    /// \return The connections that others have to this daemon.
+    /// \return Connections from other daemons to this one.
     [[nodiscard]] const FakeConnections &connectionsOf(std::size_t index) const
     {
         return m_daemons[index]->connections;
     }
 
-    /// \return Whether the daemon would place a new flow at the target.
+    /// \return Whether the daemon would place a new flow on the target.
     [[nodiscard]] bool places(std::size_t index, std::uint64_t target)
     {
         const auto &all = node(index)->router().targets().all();
@@ -120,15 +122,15 @@
 
     VirtualTime time;
     FakeDirectoryStore store;
-    std::uint64_t queries = 0; ///< Questions between daemons so far.
-    bool countBytes = false;   ///< Whether sentBy() is kept; it costs time.
-    /// Of each daemon's own link, either way together; 0 for links without a bound.
+    std::uint64_t queries = 0; ///< Queries between daemons so far.
+    bool countBytes = false;   ///< Whether sentBy() is counted; this takes time.
+    /// Capacity of each daemon's link, both directions together; 0 for unlimited links.
     std::uint64_t linkBytesPerSecond = 0;
-    bool sendsAsWritten = false; ///< Answers pass links as the daemon writes them; it costs time.
-    std::set<std::size_t> cutFromPeers; ///< Daemons whose messages to and from others get lost.
-    std::set<std::size_t>
-        withoutPower; ///< Daemons whose VMs have no power: connections to them hang.
-    /// Each daemon's time for one question of another one, which it handles one after the other.
+    bool sendsAsWritten = false;        ///< Answers occupy links with their encoded size; slow.
+    std::set<std::size_t> cutFromPeers; ///< Daemons whose messages to and from others are lost.
+    /// Daemons whose VMs have no power: connections to them hang.
+    std::set<std::size_t> withoutPower;
+    /// Time that a daemon takes for one query of another daemon; it handles them one at a time.
     Duration handling{0};
 
 private:
@@ -137,11 +139,11 @@
         std::unique_ptr<DirectNode> node;
         std::shared_ptr<bool> life;
         bool frozen = false;
-        std::uint64_t asked = 0;    ///< Questions of other daemons.
-        std::uint64_t bytes = 0;    ///< Sent to others.
-        std::uint64_t messages = 0; ///< The same.
-        TimePoint linkFreeAt{};     ///< What has been asked for until now has passed by then.
-        TimePoint handlesAt{};      ///< The next question that comes.
+        std::uint64_t asked = 0;    ///< Queries from other daemons.
+        std::uint64_t bytes = 0;    ///< Sent to other daemons.
+        std::uint64_t messages = 0; ///< Sent to other daemons.
+        TimePoint linkFreeAt{};     ///< When all transfers so far have passed.
+        TimePoint handlesAt{};      ///< When the next query can be handled.
         FakeConnections connections;
         std::vector<std::function<void()>> missed;
     };
@@ -151,7 +153,8 @@
         return {0x0A010000U + static_cast<std::uint32_t>(index), 9000};
     }
 
-    /// \brief Runs an event at a daemon in this life of its, once it is awake.
+    /// \return A function that runs an event of a daemon. A frozen daemon runs it when it resumes;
+    /// one that was killed or restarted since drops it.
     [[nodiscard]] std::function<void()> at(std::size_t index, std::function<void()> event)
     {
         return
@@ -180,7 +183,8 @@
                            if (life.expired())
                                return;
                            const Duration passing = occupy(index, sizeOf(result));
-                           // One that goes on arriving is waited for, as the product's client does.
+                           // An answer that keeps arriving is awaited, as by PlatformClient, up to
+                           // its limit.
                            constexpr Duration longest = PlatformClientSettings{}.maxAnswerTime;
                            const bool late = passing > longest;
                            const PlatformResult seen
@@ -203,7 +207,7 @@
         return callbacks;
     }
 
-    // Answers on the way share the links, so that each begins to arrive as soon as it is given.
+    // Answers in transit share the links, so each one starts to arrive as soon as it is sent.
     void ask(std::size_t from, const Endpoint &peer, const PeerQuery &question,
              const QueryTimeouts &limits, std::function<void(PeerResult)> done)
     {
@@ -265,7 +269,7 @@
 
     [[nodiscard]] static std::uint64_t sizeOf(const std::vector<StoredObject> &objects)
     {
-        constexpr std::uint64_t heads = 50; // Names of fields, the version, punctuation.
+        constexpr std::uint64_t heads = 50; // Field names, the version, punctuation.
         std::uint64_t size = 0;
         for (const StoredObject &object : objects)
             size += object.key.size() + object.value.size() + heads;
@@ -298,8 +302,8 @@
         return packed ? packed->size() : body.size();
     }
 
-    /// \brief Sends so many bytes through a daemon's link. \return When the last one has passed.
-    /// What nobody waits for any more passes all the same.
+    /// \brief Sends \a bytes through a daemon's link. They occupy it even if nobody waits for them
+    /// any more. \return Time until the last one has passed.
     Duration occupy(std::size_t index, std::uint64_t bytes)
     {
         if (linkBytesPerSecond == 0 || bytes == 0)
--- a/tests/support/direct_fleet.h
+++ b/tests/support/direct_fleet.h
@@ -6,7 +6,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief A router with one service behind one address, and callers that need no network.
+/// \brief A DirectRouter with one service behind one address, and segments of its callers; no
+/// network.
 class DirectFleet
 {
 public:
@@ -23,7 +24,7 @@
 
     [[nodiscard]] static ServiceId service() { return serviceId("lending", "lending"); }
 
-    /// \return A table with the one route, unless \a withRoute is false.
+    /// \return A route table with the single route, or without any if \a withRoute is false.
     [[nodiscard]] static RouteTablePtr routes(std::uint64_t version, bool withRoute = true)
     {
         auto table = std::make_shared<RouteTable>();
@@ -63,8 +64,9 @@
         return segment;
     }
 
-    /// \return A segment in the middle of a flow. \param sent Bytes before it. \param received
-    /// Bytes that the caller has.
+    /// \param sent Bytes that the caller sent before this segment.
+    /// \param received Bytes that the caller has received.
+    /// \return A segment in the middle of a flow.
     [[nodiscard]] static Segment data(std::uint16_t caller, FlowLabel label, std::uint32_t sent,
                                       std::uint16_t length, std::uint32_t received)
     {
@@ -78,10 +80,11 @@
     }
 
     SegmentVerdict route(const Segment &segment) { return m_router.route(segment, now); }
-    /// \brief Lets time act on the router, which the store confirms just now.
+    /// \brief Runs the router's timeouts; the store confirms its copy at this moment.
     void expire() { m_router.expire(now, {now, std::nullopt}); }
 
-    /// \brief Opens a flow. \return Where it went; a null target where it was not delivered.
+    /// \brief Opens a flow.
+    /// \return Where it was delivered; a null target if it was not.
     DeliverSegment open(std::uint16_t caller, std::uint8_t retransmits = 0)
     {
         const SegmentVerdict verdict = route(opening(caller, retransmits));
@@ -89,7 +92,8 @@
         return deliver ? *deliver : DeliverSegment{};
     }
 
-    /// \brief Opens a flow whose target answers. \return Where it went.
+    /// \brief Opens a flow whose target answers.
+    /// \return Where it was delivered.
     DeliverSegment establish(std::uint16_t caller)
     {
         const DeliverSegment placed = open(caller);
@@ -101,10 +105,10 @@
 
     TimePoint now{1h};
     std::vector<SegmentCause> causes;            ///< Of every decision, in order.
-    std::vector<DirectTargetState> stateChanges; ///< Every change of belief, in order.
+    std::vector<DirectTargetState> stateChanges; ///< New state of every change, in order.
 
 private:
-    static constexpr std::uint32_t FirstSequence = 0xFFFFFF00; ///< Wraps round soon.
+    static constexpr std::uint32_t FirstSequence = 0xFFFFFF00; ///< Wraps around after 256 bytes.
 
     [[nodiscard]] DirectObserver observer()
     {
--- a/tests/support/direct_system.h
+++ b/tests/support/direct_system.h
@@ -10,7 +10,7 @@
 inline constexpr std::size_t Roots = 2;
 inline constexpr std::size_t Callers = 6;
 
-/// \brief A small system of real daemons that serves feeds.
+/// \brief A small system of real daemon processes with traffic: every caller has a feed.
 struct DirectSystem
 {
     standins::World world{Daemons, Roots, Callers};
@@ -28,8 +28,8 @@
             caller->feed(standins::World::routeOf(0), "lending", 20ms);
     }
 
-    /// \brief Lets every caller ask one request of either service, and waits for the answers or
-    /// until the callers have given up. \return How many were answered.
+    /// \brief Lets every caller send one request to each service, and waits for the answers or
+    /// until the callers have timed out. \return Number of answered requests.
     std::size_t askAll()
     {
         const std::size_t before = world.callerLog.singleAnswered;
--- a/tests/support/load_replay.h
+++ b/tests/support/load_replay.h
@@ -13,29 +13,29 @@
 
 namespace baobabtrail::test {
 
-/// \brief What is asked of a LoadReplay.
+/// \brief Parameters of a LoadReplay.
 struct LoadPattern
 {
     std::size_t daemons = 6;
     std::size_t targets = 12;
     std::uint32_t slots = 3;
-    std::size_t queue = 12; ///< Requests that a target lets wait; what comes beyond is shed.
-    Duration work = 50ms;   ///< Mean of a request.
+    std::size_t queue = 12; ///< Queue length of a target; it sheds further requests.
+    Duration work = 50ms;   ///< Mean service time of a request.
     Duration latency = 250ms;
     Duration timeout = 2500ms;
-    double load = 1.0;             ///< Work that is asked for, by what the slots carry.
-    double urgentShare = 0;        ///< Of the requests, on a route of a higher priority.
-    bool heldBack = true;          ///< Whether the mechanism under test is in use.
-    std::size_t silentTargets = 0; ///< Fall silent as the measurement begins.
+    double load = 1.0;             ///< Offered load, relative to the capacity of the slots.
+    double urgentShare = 0;        ///< Share of requests on a route of higher priority.
+    bool heldBack = true;          ///< Whether daemons hold requests back under overload.
+    std::size_t silentTargets = 0; ///< Stop answering when the measurement begins.
 };
 
-/// \brief How the requests ended that were asked in the measured time.
+/// \brief Outcomes of the requests that began during the measurement.
 struct LoadResult
 {
     std::size_t asked = 0;
     std::size_t inTime = 0;
     std::size_t late = 0;
-    std::size_t held = 0;  ///< First segments that had to wait.
+    std::size_t held = 0;  ///< First segments that were held back.
     std::size_t twice = 0; ///< Requests that ran more than once.
 
     [[nodiscard]] double shareInTime() const noexcept
@@ -44,8 +44,8 @@
     }
 };
 
-/// \brief Callers with long flows, daemons and targets with slots and a bounded queue, in virtual
-/// time; the decisions are the product's own.
+/// \brief Simulates callers with long-lived flows and targets with slots and bounded queues in
+/// virtual time; real DirectNodes make the decisions.
 ///
 /// \code
 /// LoadReplay replay{{.load = 1.5}, 1};
@@ -69,7 +69,8 @@
             m_cluster.store.put(DirectCluster::targetKey(id), "x ready");
     }
 
-    /// \brief Two seconds of little load, then \a span of the pattern's, which is measured.
+    /// \brief After two seconds to start, runs two seconds of low load, then \a span of the
+    /// pattern's load, which is measured.
     LoadResult run(Duration span = 6s)
     {
         VirtualTime &time = m_cluster.time;
@@ -87,9 +88,9 @@
         return m_result;
     }
 
-    /// \return The same of the more urgent route alone.
+    /// \return The result of the route of higher priority alone.
     [[nodiscard]] const LoadResult &urgent() const noexcept { return m_urgent; }
-    /// \return Share that could be in time if every slot that is left were always in use.
+    /// \return Upper bound of the share in time: every slot of the remaining targets always in use.
     [[nodiscard]] double slotsAllow() const noexcept
     {
         const double left = static_cast<double>(m_pattern.targets - m_pattern.silentTargets)
@@ -117,7 +118,7 @@
         FlowLabel label;
         std::uint32_t sent = 1001;
         std::uint32_t received = 1;
-        std::uint64_t request = 0; ///< That waits; 0 for none.
+        std::uint64_t request = 0; ///< Pending request; 0 for none.
         bool reached = false;      ///< The target has the request.
     };
     struct Request
@@ -209,7 +210,7 @@
         m_cluster.time.after(m_pattern.timeout, [this, id] { abandon(id); });
     }
 
-    /// \return An open flow without a request, at random; a new one where there is none.
+    /// \return A random open flow without a pending request, or a new flow if there is none.
     std::size_t idleFlow(bool urgent)
     {
         std::vector<std::size_t> idle;
@@ -292,7 +293,7 @@
         Segment abort = segmentOf(flow, 0);
         abort.aborts = true;
         pass(flow, abort);
-        // The flow is over; the request goes with it, and its place is never used again.
+        // The flow ends with its request; its entry is never reused.
         m_requests.erase(found);
     }
 
--- a/tests/support/logged_cluster.h
+++ b/tests/support/logged_cluster.h
@@ -12,7 +12,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief A DirectCluster whose daemons write their log as the product does, in virtual time.
+/// \brief A DirectCluster whose daemons write a DirectLog, as in production, in virtual time.
 class LoggedCluster
 {
 public:
@@ -24,7 +24,7 @@
     {
     }
 
-    /// \brief What routes promise that are read from now on.
+    /// \brief Sets the latency and timeout of routes that are read from now on.
     void promise(Duration latency, Duration timeout)
     {
         m_promise.latency = latency;
@@ -37,7 +37,7 @@
         return cluster.node(daemon)->handle(segment, "payload");
     }
 
-    /// \return The label that an opening was given; null where it was not delivered.
+    /// \return The label that an opening segment got; null if it was not delivered.
     FlowLabel open(std::size_t daemon, std::uint16_t caller)
     {
         const auto verdict = send(daemon, DirectFleet::opening(caller));
@@ -45,7 +45,7 @@
         return deliver ? deliver->label : FlowLabel{};
     }
 
-    /// \return What baobabctl prints of a caller's flow.
+    /// \return What baobabctl prints to explain a caller's flow.
     [[nodiscard]] std::string explanation(std::uint16_t caller) const
     {
         std::istringstream log{m_text};
