--- a/tests/support/fake_caller.h
+++ b/tests/support/fake_caller.h
@@ -9,16 +9,17 @@
 
 namespace baobabtrail::fake {
 
-/// \brief How a request ended for its caller.
+/// \brief Outcome of a request as its caller saw it. Silent: neither an answer nor an outcome.
 enum class Ending { Open, Answered, NotRun, Unknown, Silent };
 
-/// \brief A caller of one request: reserves, sends, retransmits until an outcome or its deadline.
+/// \brief A caller with one request: reserves, sends and retransmits until it has an outcome or the
+/// deadline has passed.
 class FakeRequest
 {
 public:
     using Sender = std::function<void(CallerMessage)>;
     static constexpr Duration Retransmission = 120ms;
-    static constexpr Duration Patience = 300ms; ///< Behind its deadline, for the last word.
+    static constexpr Duration Patience = 300ms; ///< Wait for an outcome after the deadline.
 
     FakeRequest(VirtualTime &time, const Reserve &ask, Sender send)
         : reserve(ask)
@@ -36,7 +37,7 @@
     RefusalCause refusal = RefusalCause::Overload; ///< Only with NotRun.
     UnknownCause unknown = UnknownCause::Expired;  ///< Only with Unknown.
     std::optional<ReservationToken> token;
-    std::uint32_t extraReserves = 0; ///< Copies of each Reserve.
+    std::uint32_t extraReserves = 0; ///< Additional copies of each Reserve.
     std::size_t payloadBytes = 16;
 
     [[nodiscard]] std::string payload() const
@@ -78,7 +79,7 @@
             token = reserved->token;
             m_send(RequestMessage{RequestData{reserve.request, *token, payload()}});
         } else if (const NotRun *notRun = std::get_if<NotRun>(&message)) {
-            // A refusal of another copy of the Reserve says nothing about the reservation.
+            // A refusal of another copy of the Reserve doesn't affect the reservation.
             if (token && token->owner != notRun->owner)
                 return;
             refusal = notRun->cause;
@@ -110,7 +111,7 @@
     std::map<std::uint32_t, std::string> m_parts;
 };
 
-/// \brief A caller of one flow: opens it, sends data and keep-alives, opens anew after a reset.
+/// \brief A caller with one flow: opens it, sends data and keep-alives, reopens it after a reset.
 class FakeFlow
 {
 public:
@@ -146,13 +147,13 @@
     void receive(const FlowMessage &message)
     {
         if (std::visit([](const auto &m) { return m.flow; }, message) != flow) {
-            // Of the flow that this one took the place of, or somebody else's.
+            // Belongs to the flow that this one replaced, or to another caller.
             if (std::holds_alternative<FlowData>(message) && m_former.isNull())
                 ++strangeEchoes;
             return;
         }
         if (const AcceptFlow *accept = std::get_if<AcceptFlow>(&message)) {
-            // A later accept from the same target only renews the token under a newer key.
+            // A later accept from the same target only renews the token with a newer key.
             const bool renews = token && token->target == accept->token.target
                                 && token->epoch < accept->token.epoch;
             if (!token || renews)
--- a/tests/support/fake_daemon.h
+++ b/tests/support/fake_daemon.h
@@ -8,7 +8,7 @@
 
 namespace baobabtrail::fake {
 
-/// \brief Moments in the life of a flow or request at which a fault can strike.
+/// \brief Steps of a flow or request at which a fault can be injected.
 enum class Step {
     Open,
     Established,
@@ -21,7 +21,7 @@
     Stop,
 };
 
-/// \brief What the network does to datagrams at the moment.
+/// \brief Loss, duplication and delay of datagrams.
 struct NetworkConditions
 {
     double loss = 0;
@@ -30,14 +30,14 @@
     Duration jitter = 50us;
 };
 
-/// \brief A daemon as the fake network runs it.
+/// \brief State of a daemon in FakeNetwork.
 struct FakeDaemon
 {
     NodeIdentity identity;
     std::unique_ptr<TrafficNode> node;
     ConfigPtr config;
     ViewPtr view;
-    TimePoint viewAt{}; ///< When its newest view arrives; none overtakes another.
+    TimePoint viewAt{}; ///< When its newest view arrives; views arrive in order.
     bool alive = true;
     bool inFabric = true;
     bool frozen = false;
--- a/tests/support/fake_network.h
+++ b/tests/support/fake_network.h
@@ -11,7 +11,7 @@
 
 /// \brief Several TrafficNodes, targets and callers in virtual time, and the network between them.
 ///
-/// A fabric hands any datagram of a caller or target to any daemon that it takes for alive.
+/// The fabric delivers a datagram of a caller or target to any daemon that it considers alive.
 class FakeNetwork
 {
 public:
@@ -36,7 +36,7 @@
     TrafficSettings settings;
     std::function<void(std::size_t daemon, const TrafficAction &)> onAction = [](auto, auto &) {};
     std::function<void(TargetId, const LinkMessage &)> onTargetReply = [](auto, auto &) {};
-    /// Says whether a message to a caller is to be lost.
+    /// Returns whether a message to a caller is lost.
     std::function<bool(const CallerMessage &)> loseToCaller = [](auto &) { return false; };
 
     std::size_t addDaemon()
@@ -62,7 +62,7 @@
         start(index);
     }
 
-    /// \brief The process is gone; the fabric notices it a second later.
+    /// \brief Kills the process; the fabric notices it a second later.
     void kill(std::size_t index)
     {
         daemons[index].alive = false;
@@ -87,7 +87,7 @@
         return *targets[config.id];
     }
 
-    /// \brief Gives every daemon the configuration, each at some time up to \a within.
+    /// \brief Delivers the configuration to every daemon, each after a random time up to \a within.
     void publish(const ConfigPtr &config, Duration within)
     {
         for (std::size_t i = 0; i < daemons.size(); ++i) {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// \brief Tells every daemon who is alive, each at some time up to \a within.
+    /// \brief Delivers a membership view to every daemon, each after a random time up to \a within.
+    /// \param states States by daemon; others are alive.
     void publishView(const std::map<std::size_t, MemberState> &states, Duration within)
     {
         View view;
@@ -105,7 +106,7 @@
             const NodeIdentity &id = daemons[i].identity;
             const auto state = states.find(i);
             if (state != states.end() && state->second == MemberState::Dead)
-                continue; // The dead are not in a view.
+                continue; // A view has no dead members.
             view.members.push_back({id.daemon, id.incarnation, id.address, id.records, id.domain,
                                     state == states.end() ? MemberState::Alive : state->second,
                                     Revision{1}});
@@ -140,7 +141,7 @@
         return *flow;
     }
 
-    /// \brief The target's process is gone, with its flows and connections.
+    /// \brief Kills the target's process, with its flows and connections.
     void crash(TargetId target)
     {
         targets.at(target)->dead = true;
@@ -220,7 +221,7 @@
         return cuts.contains(std::minmax(a, b));
     }
 
-    /// Carries a datagram: it may be lost, late, or come twice.
+    /// Delivers a datagram; it may be lost, delayed or duplicated.
     void datagram(std::uint32_t from, std::uint32_t to, const std::function<void()> &arrive)
     {
         const int copies = chance(conditions.duplicate) ? 2 : 1;
@@ -349,7 +350,7 @@
         });
     }
 
-    /// Carries a message in order; a network that is cut breaks the connection after a while.
+    /// Delivers a message in order; a network partition breaks the connection after a second.
     void overLink(std::size_t daemon, TargetId target, std::function<void()> arrive)
     {
         const auto found = m_links.find({daemon, target});
--- a/tests/support/fake_target.h
+++ b/tests/support/fake_target.h
@@ -10,7 +10,7 @@
 
 namespace baobabtrail::fake {
 
-/// \brief A target with slots. It records each run of a request, and all that is not meant for it.
+/// \brief A target with slots. It records each run of a request and all misdirected messages.
 class FakeTarget
 {
 public:
@@ -27,14 +27,14 @@
     ServiceId service;
     TargetConfig config;
     Duration serviceTime{20ms};
-    bool dead = false;        ///< Takes and answers nothing.
+    bool dead = false;        ///< Ignores all messages.
     bool shedding = false;    ///< Refuses every attempt and flow.
-    bool reportsIdle = false; ///< Reports that it is idle whatever it does.
-    std::set<FlowId> lost;    ///< Flows that something on the way has lost track of.
+    bool reportsIdle = false; ///< Reports no load, whatever it runs.
+    std::set<FlowId> lost;    ///< Flows whose datagrams to the target are lost.
 
     std::map<RequestId, int> runs;
-    std::vector<std::string> misdirected; ///< What it got that was another service's.
-    TimePoint lastNewWork{};              ///< When it last got a dispatch or an open.
+    std::vector<std::string> misdirected; ///< Kinds of messages for another service or target.
+    TimePoint lastNewWork{};              ///< When it last received a dispatch or an open.
     std::map<FlowId, FlowToken> flows;
 
     [[nodiscard]] LoadReport load() const
--- a/tests/support/traffic_node_fixture.h
+++ b/tests/support/traffic_node_fixture.h
@@ -7,8 +7,8 @@
 
 namespace baobabtrail::fake {
 
-/// \brief One TrafficNode that owns a few targets of one service, and the actions of its last
-/// event.
+/// \brief Fixture with one TrafficNode that owns a few targets of one service, and the actions that
+/// its last event caused.
 class TrafficNodeFixture
 {
 public:
@@ -46,9 +46,9 @@
     View view;
     TimePoint now{Duration{1h}};
     TrafficNode node;
-    TrafficActions actions;     ///< Of the last event.
-    bool hellosAnswered = true; ///< Whether targets answer hellos while time passes,
-    LoadReport load;            ///< with this report.
+    TrafficActions actions;     ///< Caused by the last event.
+    bool hellosAnswered = true; ///< Whether targets answer hellos in pass(), with
+    LoadReport load;            ///< this load report.
 
     [[nodiscard]] static NodeIdentity identity()
     {
@@ -87,7 +87,8 @@
         node.handle(std::move(event), now, actions);
     }
 
-    /// \brief Lets time pass, timers included. \return All that was done meanwhile.
+    /// \brief Advances the time and runs the timers that are due.
+    /// \return All actions that they caused.
     TrafficActions pass(Duration wait)
     {
         TrafficActions all;
@@ -170,7 +171,7 @@
         return reserve;
     }
 
-    /// \return The reservation, or nothing where it was refused.
+    /// \return The reservation, or nothing if it was refused.
     std::optional<ReservationToken> reserve(const Reserve &reserve)
     {
         fromCaller(RequestMessage{reserve});
@@ -183,7 +184,8 @@
         fromCaller(RequestMessage{RequestData{RequestId{1, id}, token, "swap"}});
     }
 
-    /// \brief Reserves and sends a request. \return Its dispatch, where it started at once.
+    /// \brief Reserves and sends a request.
+    /// \return Its dispatch, if it was dispatched at once.
     std::optional<std::pair<TargetId, Dispatch>> start(const Reserve &reserve)
     {
         const std::optional<ReservationToken> token = this->reserve(reserve);
