--- a/tests/support/fake_connections.h
+++ b/tests/support/fake_connections.h
@@ -8,20 +8,22 @@
 
 namespace baobabtrail::test {
 
-/// \brief Connections of one daemon's HTTP server, as many as its clients open and keep.
+/// \brief Counts the connections of one daemon's HTTP server that its clients open and keep alive.
 class FakeConnections
 {
 public:
-    /// Idle connections end after this long, as at the product's server.
+    /// Idle connections are closed after this time, as by the daemon's HTTP server.
     static constexpr Duration IdleTimeout = 10s;
 
-    /// \param kept Connections that are kept; others end with their first answer.
+    /// \param kept Maximum of connections that are kept alive; further ones are closed after their
+    /// first answer.
     explicit FakeConnections(std::size_t kept = 64) noexcept
         : m_kept(kept)
     {
     }
 
-    /// \brief A client begins a call. \return Whether its connection ends with the answer.
+    /// \brief A client starts a call.
+    /// \return Whether its connection is closed after the answer.
     [[nodiscard]] bool begin(std::size_t client, TimePoint now)
     {
         expire(now);
@@ -34,7 +36,8 @@
         return once;
     }
 
-    /// \brief A call has ended. \param keeps The client keeps the connection for another one.
+    /// \brief A call has ended.
+    /// \param keeps Whether the client keeps the connection for another call.
     void end(std::size_t client, TimePoint now, bool keeps)
     {
         Client &known = m_clients[client];
@@ -50,7 +53,7 @@
             count += known.busy + known.idle;
         return count;
     }
-    /// \return Most that were open at once.
+    /// \return Maximum of connections that were open at once.
     [[nodiscard]] std::size_t most() const noexcept { return m_most; }
 
 private:
--- a/tests/support/fake_control_net.h
+++ b/tests/support/fake_control_net.h
@@ -23,9 +23,9 @@
 
 namespace baobabtrail::test {
 
-/// \brief Several ControlNodes, the network between them and the platform, in virtual time.
+/// \brief Several ControlNodes, the network between them and a fake platform, in virtual time.
 ///
-/// Checks at every step what must always hold, and collects what did not in violations().
+/// Checks the invariants of ControlChecks at every step; violations() returns those that failed.
 class FakeControlNet
 {
 public:
@@ -38,21 +38,21 @@
     }
 
     FakePlatform platform;
-    /// Fault of the platform as a call of this kind from this node meets it.
+    /// Returns the platform's fault for a call of this node.
     std::function<PlatformFault(NodeIndex, const PlatformRequest &)> fault;
-    /// Sees every action of every node before it is carried out.
+    /// Receives every action of every node before it is executed.
     std::function<void(NodeIndex, const ControlAction &)> observe;
-    std::uint32_t lossPercent = 0; ///< Of datagrams.
-    Duration retryAfter = 1s;      ///< What a rate-limited call is told.
-    /// Whether a datagram from this node is lost, beside the loss at random.
+    std::uint32_t lossPercent = 0; ///< Loss rate of datagrams.
+    Duration retryAfter = 1s;      ///< Retry delay in the answer to a rate-limited call.
+    /// Returns whether a datagram is lost, in addition to the random loss.
     std::function<bool(NodeIndex from, NodeIndex to, const PeerMessage &)> drop;
-    /// Whether a fetch gets no answer.
+    /// Returns whether a fetch gets no answer.
     std::function<bool(NodeIndex querier, NodeIndex server)> dropFetch;
     std::array<std::uint64_t, CallKindCount> calls{};
     std::vector<Notice> notices;
-    /// Sees what a peer answers to a fetch.
+    /// Receives every answer of a peer to a fetch.
     std::function<void(NodeIndex server, NodeIndex querier, const RecordsMessage &)> observeAnswer;
-    /// Runs the handling of one event by a node; for measurements.
+    /// Wraps the handling of one event by a node; for measurements.
     std::function<void(NodeIndex, const std::function<void()> &)> around;
 
     NodeIndex add(const std::string &domain)
@@ -115,11 +115,11 @@
         kill(index);
         start(index);
     }
-    /// \brief Names a daemon as a seed to those that start from now on.
+    /// \brief Adds a daemon to the seeds of daemons that start from now on.
     void addSeed(NodeIndex index) { m_settings.seeds.push_back(m_nodes[index].identity.address); }
     /// \brief Daemons that start from now on have no seeds.
     void forgetSeeds() { m_settings.seeds.clear(); }
-    /// \brief Removes a VM from the list at once, without the lag.
+    /// \brief Removes a VM from the VM list at once, without the platform's lag.
     void unlist(NodeIndex index)
     {
         std::erase_if(platform.vms, [&](const VmEntry &vm) {
@@ -154,7 +154,7 @@
     void handle(NodeIndex index, ControlEvent event) { deliver(index, std::move(event)); }
 
     void run(Duration time) { m_time.run(time); }
-    /// \return Whether \a condition came true within \a limit.
+    /// \return Whether \a condition became true within \a limit.
     template <typename Condition>
     bool runUntil(Condition condition, Duration limit)
     {
@@ -170,7 +170,7 @@
         return m_nodes[index].identity;
     }
     [[nodiscard]] Revision revision(NodeIndex index) const { return m_nodes[index].published; }
-    /// \return Whether every daemon that runs has at least this revision in force.
+    /// \return Whether every running daemon has at least this revision in force.
     [[nodiscard]] bool everywhere(Revision revision) const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node &node) {
@@ -185,7 +185,8 @@
         return total;
     }
 
-    /// \brief Checks all that must hold at any time. \return What does not.
+    /// \brief Checks all invariants.
+    /// \return Those that failed.
     [[nodiscard]] std::vector<std::string> violations() const
     {
         return m_checks.violations(platform);
@@ -199,14 +200,15 @@
     {
         NodeIdentity identity;
         std::unique_ptr<ControlNode> core;
-        std::uint64_t life = 0; ///< Events of an earlier life are dropped.
+        std::uint64_t life = 0; ///< Number of the start; events of earlier ones are dropped.
         bool frozen = false;
         std::vector<std::function<void()>> held;
         Revision published;
-        TimePoint disturbedAt{}; ///< Last start or end of a pause.
+        TimePoint disturbedAt{}; ///< Last start or resumption.
         std::optional<TimePoint> timer;
     };
-    /// \return Whether a change can get to a daemon: from the platform or from one that has it.
+    /// \return Whether a change can reach a daemon: from the platform or from a daemon that reaches
+    /// the platform.
     [[nodiscard]] bool canHear(NodeIndex index) const
     {
         if (m_cuts.reachesPlatform(index))
@@ -219,7 +221,8 @@
         }
         return false;
     }
-    /// Accepted means in force on every daemon that could hear of it in the last ten seconds.
+    /// An accepted change must be in force on every daemon that it could reach during the last ten
+    /// seconds.
     void checkInForce(Revision revision)
     {
         if (now() - m_cuts.changedAt() < InForceWithin)
@@ -280,7 +283,7 @@
 
     void carryOut(NodeIndex index, ControlActions &actions)
     {
-        // A test may kill the node in the middle of its actions: the rest is not carried out.
+        // A test may kill the node while its actions are executed: the rest is dropped.
         const std::uint64_t life = m_nodes[index].life;
         for (ControlAction &action : actions) {
             if (observe)
--- a/tests/support/fake_cuts.h
+++ b/tests/support/fake_cuts.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief Which daemons reach each other and the platform.
+/// \brief Network partitions: which daemons reach each other and the platform.
 class FakeCuts
 {
 public:
@@ -48,7 +48,7 @@
     {
         return !m_cutNodes.contains(node) && !isCut(m_domains.at(node), PlatformName);
     }
-    /// \return When a cut last began or ended.
+    /// \return When a partition last began or ended.
     [[nodiscard]] TimePoint changedAt() const { return m_changedAt; }
 
 private:
--- a/tests/support/fake_directory_store.h
+++ b/tests/support/fake_directory_store.h
@@ -15,7 +15,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief The platform's store in virtual time: revisions, watches, history, and its faults.
+/// \brief The platform's object store in virtual time: revisions, watches, history and faults.
 class FakeDirectoryStore
 {
 public:
@@ -48,35 +48,35 @@
     [[nodiscard]] bool has(const std::string &key) const { return m_objects.contains(key); }
     [[nodiscard]] std::uint64_t revision() const noexcept { return m_revision; }
     [[nodiscard]] std::uint64_t calls() const noexcept { return m_calls; }
-    /// \return Of these, the ones whose answers might be old; they cost a tenth.
+    /// \return Those of calls() that allow stale answers; they cost the store a tenth of others.
     [[nodiscard]] std::uint64_t cheapCalls() const noexcept { return m_cheapCalls; }
 
-    /// \return Calls for one collection.
+    /// \return Number of calls for one collection.
     [[nodiscard]] std::uint64_t callsOn(std::string_view prefix) const
     {
         const auto found = m_callsOn.find(prefix);
         return found == m_callsOn.end() ? 0 : found->second;
     }
 
-    std::size_t pageObjects = 500; ///< Most objects that a list gives at once.
+    std::size_t pageObjects = 500; ///< Maximum of objects in one page of a list.
 
     // Faults.
 
-    bool down = false;     ///< Calls end with a failure at once.
-    bool silent = false;   ///< Calls end at their callers' timeout.
-    std::set<int> refused; ///< Callers that get a failure, while others are served.
-    std::set<int> cut;     ///< Callers whose calls get lost.
+    bool down = false;     ///< Calls fail at once.
+    bool silent = false;   ///< Calls end with their callers' timeouts.
+    std::set<int> refused; ///< Callers whose calls fail, while others are served.
+    std::set<int> cut;     ///< Callers whose calls are lost.
 
-    /// \brief Answers that may be old are of this moment from now on.
+    /// \brief From now on, calls that allow stale answers get the objects of this moment.
     void lag()
     {
         m_oldObjects = m_objects;
         m_oldRevision = m_revision;
         m_lags = true;
     }
-    /// \brief Watches hear nothing from now on.
+    /// \brief From now on, watches receive no events.
     void muteWatches() { m_watchesMuted = true; }
-    /// \brief Drops the history and, without a word, the watches that waited.
+    /// \brief Drops the history, and the waiting watches without answering them.
     void compact()
     {
         m_watchesMuted = false;
@@ -85,7 +85,7 @@
         m_watches.clear();
     }
 
-    /// \brief Goes down: watches that wait are cut off too.
+    /// \brief Goes down; waiting watches fail too.
     void goDown()
     {
         down = true;
@@ -120,7 +120,7 @@
         std::string key;
         bool removed = false;
         std::uint64_t revision = 0;
-        std::uint64_t bytes = 0; ///< Of the value that was written.
+        std::uint64_t bytes = 0; ///< Size of the written value.
     };
     struct Watch
     {
@@ -167,7 +167,7 @@
             if (!m_watchesMuted)
                 end(id);
         });
-        // A watch that nobody ends, since it was dropped without a word, ends at its caller.
+        // A watch that was dropped without an answer ends with its caller's timeout.
         m_time.after(watch.wait + CallTimeout, [this, id, done, caller] {
             if (m_ended.contains(id))
                 return;
@@ -217,7 +217,7 @@
         ObjectList out;
         out.latest = ObjectVersion{m_revision};
         std::set<std::string> keys;
-        std::uint64_t bytes = 0; // A watch tells each version of an object.
+        std::uint64_t bytes = 0; // A watch reports every version of an object.
         for (const Event &event : m_events) {
             if (event.revision <= watch.request.after.value()
                 || !event.key.starts_with(watch.request.prefix))
--- a/tests/support/fake_platform.h
+++ b/tests/support/fake_platform.h
@@ -12,16 +12,16 @@
 
 namespace baobabtrail::test {
 
-/// \brief Ways in which a call to the platform goes wrong.
+/// \brief Faults of calls to the platform.
 enum class PlatformFault {
     None,
-    Down,         ///< Nothing happens, and the caller learns of it after its timeout.
-    Slow,         ///< Takes seconds, and works.
-    RateLimited,  ///< Refused at once, with a time to come back.
+    Down,         ///< Has no effect; the caller sees a timeout.
+    Slow,         ///< Takes seconds and succeeds.
+    RateLimited,  ///< Refused at once, with a retry delay.
     ReplyLost,    ///< Takes effect, and the caller sees a timeout.
     WriteDelayed, ///< Takes effect seconds after the caller has seen a timeout.
-    WatchSilent,  ///< A watch that sees no change any more.
-    WatchSkips,   ///< A watch that leaves objects out.
+    WatchSilent,  ///< A watch that no longer reports changes.
+    WatchSkips,   ///< A watch that omits objects.
 };
 
 enum class CallKind { Create, Update, Read, List, Watch, Delete, ListVms };
@@ -35,17 +35,17 @@
     return Kinds.at(request.index());
 }
 
-/// \brief The object store and VM list in memory. Knows no time: its user decides when a call takes
-/// effect and when its reply arrives.
+/// \brief The platform's object store and VM list in memory, without a clock: the user decides when
+/// a call takes effect and when its reply arrives.
 class FakePlatform
 {
 public:
     std::map<std::string, StoredObject> objects;
-    std::map<std::string, std::string> created; ///< First value of every key, deleted ones too.
-    std::vector<std::string> recreated;         ///< Keys that were created again after deletion.
+    std::map<std::string, std::string> created; ///< First value of every key, also of deleted ones.
+    std::vector<std::string> recreated; ///< Keys that were created again after their deletion.
     std::vector<VmEntry> vms;
 
-    /// \return The result of any call but a watch that has to wait.
+    /// \return The result of a call. A watch is answered at once, without waiting for a change.
     [[nodiscard]] PlatformResult perform(const PlatformRequest &request)
     {
         return std::visit([this](const auto &typed) { return on(typed); }, request);
--- a/tests/support/fake_platform_calls.h
+++ b/tests/support/fake_platform_calls.h
@@ -9,7 +9,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief Carries calls to a FakePlatform and their replies back, in virtual time and with faults.
+/// \brief Delivers calls to a FakePlatform and their replies, in virtual time and with faults.
 class FakePlatformCalls
 {
 public:
@@ -25,10 +25,11 @@
     {
     }
 
-    Duration retryAfter = 1s; ///< What a rate-limited call is told.
+    Duration retryAfter = 1s; ///< Retry delay in the answer to a rate-limited call.
 
-    /// \param way Time from the caller to the platform. \param isReachable Whether the platform can
-    /// be reached; asked when the reply to a watch is due.
+    /// \param way Time from the caller to the platform.
+    /// \param isReachable Returns whether the platform can be reached; called when the reply to a
+    /// watch is due.
     void call(const PlatformRequest &request, PlatformFault how, Duration way, Reply reply,
               const Reachable &isReachable)
     {
--- a/tests/support/fake_watches.h
+++ b/tests/support/fake_watches.h
@@ -8,20 +8,20 @@
 
 namespace baobabtrail::test {
 
-/// \brief Watches that wait at the platform.
+/// \brief Watches that wait for changes at a FakePlatform.
 class FakeWatches
 {
 public:
     using Answer = std::function<void(ObjectList)>;
 
-    /// \return Number of the watch, for expire().
+    /// \return Identifier of the watch, for expire().
     std::uint64_t add(WatchObjects watch, PlatformFault fault, Answer answer)
     {
         m_waiting.emplace(++m_last, Waiting{std::move(watch), fault, std::move(answer)});
         return m_last;
     }
 
-    /// \brief Answers those that something has changed for.
+    /// \brief Answers the watches with changes to report.
     void answerChanged(const FakePlatform &platform)
     {
         for (auto entry = m_waiting.begin(); entry != m_waiting.end();) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// \brief Ends a watch whose wait is over, where it is still there.
+    /// \brief Answers a watch whose wait is over with an empty list, if it still waits.
     void expire(std::uint64_t number)
     {
         const auto over = m_waiting.extract(number);
