--- a/tests/fuzz/mutated_text_test.cpp
+++ b/tests/fuzz/mutated_text_test.cpp
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Statements come from whoever holds a key. Whatever stands there is understood or refused with a
-// place inside the text; a refusal that points elsewhere sends the operator to the wrong word.
+// Any holder of a key can send any statement. The parser must accept it or reject it with a column
+// inside the text; a column elsewhere would point the operator to the wrong word.
 Test(mutated, statementsAreUnderstoodOrRefusedWithAPlace)
 {
     constexpr int Mutations = 40000;
--- a/tests/support/generate.h
+++ b/tests/support/generate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Random values of any message type, and their comparison, field by field.
+/// \brief Generates random values of any message type and compares them field by field.
 
 #include "core/ids.h"
 #include "core/messages/peer.h"
@@ -34,7 +34,7 @@
 template <>
 inline constexpr int LastOf<MemberState> = static_cast<int>(MemberState::Dead);
 
-/// \return A number from \a low to \a high, both included.
+/// \return A random number from \a low to \a high, both inclusive.
 [[nodiscard]] inline std::int64_t draw(Random &random, std::int64_t low, std::int64_t high)
 {
     return boost::random::uniform_int_distribution<std::int64_t>{low, high}(random);
--- a/tests/support/mutate.h
+++ b/tests/support/mutate.h
@@ -6,7 +6,7 @@
 
 namespace baobabtrail::test {
 
-/// \brief Changes, cuts, repeats or inserts a few bytes.
+/// \brief Changes, cuts, repeats or inserts a few random bytes, one to four times.
 inline void mutate(std::string &bytes, Random &random)
 {
     for (auto changes = draw(random, 1, 4); changes > 0 && !bytes.empty(); --changes) {
--- a/tests/support/recompute_checksum.h
+++ b/tests/support/recompute_checksum.h
@@ -7,8 +7,8 @@
 
 namespace baobabtrail::test {
 
-/// \return A record whose text was changed, with the checksum that fits: as a newer version of the
-/// program would have written it.
+/// \return A record with a valid checksum for its changed text, as if a newer version of the
+/// program had written it.
 [[nodiscard]] inline std::string recomputeChecksum(const std::string &text)
 {
     constexpr std::string_view Begin = "\"record\":";
--- a/tests/support/records_fixture.h
+++ b/tests/support/records_fixture.h
@@ -15,7 +15,7 @@
 
 inline constexpr Duration RecordsTimeout = 300ms;
 
-/// \return An address on which nothing listens now.
+/// \return A loopback address that nothing listens on.
 [[nodiscard]] inline Endpoint freeAddress()
 {
     return {0x7f000001, freePorts(1).front()};
@@ -26,7 +26,7 @@
     return [](const std::string &why) { cr_assert_fail("%s", why.c_str()); };
 }
 
-/// \brief Runs the loop until \a count answers have come.
+/// \brief Runs the event loop until \a count has reached \a wanted.
 inline void runUntil(boost::asio::io_context &context, const std::size_t &count, std::size_t wanted)
 {
     const auto work = boost::asio::make_work_guard(context);
--- a/tests/support/virtual_time.h
+++ b/tests/support/virtual_time.h
@@ -10,8 +10,8 @@
 
 namespace baobabtrail::test {
 
-/// \brief Runs events in the order of their times, without waiting; events of one time run in the
-/// order in which they were added.
+/// \brief A simulated clock that runs events in the order of their times without waiting. Events of
+/// the same time run in the order in which they were added.
 class VirtualTime
 {
 public:
@@ -37,7 +37,7 @@
         m_now = end;
     }
 
-    /// \return Whether \a condition came true within \a limit.
+    /// \return Whether \a condition became true within \a limit.
     template <typename Condition>
     bool runUntil(Condition condition, Duration limit)
     {
