--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -59,9 +59,10 @@
 public:
     enum class Output { Ready, Hidden, Inherited, Unread, File };
 
-    /// \param output Where standard output goes. Ready: to a pipe; the constructor waits for the
-    /// line "ready NAME=PORT ...". Hidden: to /dev/null. Inherited: to the test's output. Unread:
-    /// to a pipe that nobody reads. File: appended to \a file.
+    /// \param output Where the program prints. Ready: standard output is a pipe, and the
+    /// constructor waits for the line "ready NAME=PORT ..." there. Unread: standard output is a
+    /// pipe that nobody reads. Hidden: standard output and error are dropped. File: both are
+    /// appended to \a file. Inherited: both go to where the test prints.
     Process(const std::string &program, std::vector<std::string> arguments,
             Output output = Output::Ready, std::string file = {})
         : m_file(std::move(file))
