--- a/tests/directory/cluster_outage_test.cpp
+++ b/tests/directory/cluster_outage_test.cpp
@@ -121,10 +121,10 @@
     cluster.time.run(10s);
     cluster.store.down = true;
     const std::uint64_t before = cluster.store.calls();
-    const std::uint64_t asksBefore = cluster.queries;
+    const std::uint64_t queriesBefore = cluster.queries;
     cluster.time.run(10s);
     const std::uint64_t calls = cluster.store.calls() - before;
-    const std::uint64_t queries = cluster.queries - asksBefore;
+    const std::uint64_t queries = cluster.queries - queriesBefore;
     cr_assert_leq(queries, 91 * 10 * 20, "%lu queries in 10 s", queries);
     // Three roots that retry each second make 80 calls; 88 followers query the store themselves
     // three times in this time, at growing intervals, in case only their roots can't reach it: 528.
